--- a/src/larkhoist/fleet/eligibility.py
+++ b/src/larkhoist/fleet/eligibility.py
@@ -1,6 +1,11 @@
-"""Tell which workers a phase may go to in one pass, and which it leaves out."""
-
-from larkhoist.fleet.leeway import Leeway, count_together, get_calm_s, make_leeway
+"""Select the workers on which a phase may start in one pass."""
+
+from larkhoist.fleet.leeway import (
+    Leeway,
+    count_together,
+    get_failure_free_s,
+    make_leeway,
+)
 from larkhoist.fleet.placing import WorkerGroups, count_capacity, list_eligible
 from larkhoist.fleet.ranking import Tier
 from larkhoist.fleet.room import ServiceRoom, count_service_rooms
@@ -13,29 +18,29 @@
 
 
 class Eligibility:
-    """Hold the workers that may get work now, and how much of it they have room for.
+    """The workers that may get tasks in one pass, with cached counts of their room.
 
-    ``usable`` ones may get any, ``held`` ones are in quarantine and may be tried once
-    they have failed nothing for as long as a phase waits for.
+    ``usable`` workers may get any task. ``quarantined`` ones may be tried by an overdue
+    phase once they have been free of failures for as long as the phase requires.
     """
 
     def __init__(self, state: FleetState, now_s: float):
         self._state = state
         self._now_s = now_s
-        self._rooms: list[dict[str, ServiceRoom]] = []
-        self._fitting: dict[Resources, int] = {}
-        self._room: dict[tuple, int] = {}
+        self._service_rooms: list[dict[str, ServiceRoom]] = []
+        self._fitting_counts: dict[Resources, int] = {}
+        self._room_counts: dict[tuple, int] = {}
         self._groups: dict[tuple, WorkerGroups] = {}
         self.usable: list[FleetWorker] = []
-        self.held: list[FleetWorker] = []
+        self.quarantined: list[FleetWorker] = []
         for worker in state.workers.values():
             if state.is_usable(worker, now_s):
                 self.usable.append(worker)
             elif state.may_probe(worker, 0.0, now_s):
-                self.held.append(worker)
+                self.quarantined.append(worker)
 
     def get_leeway(self, active: ActiveJob, phase: Phase) -> Leeway:
-        """Return from which preferences a phase is free by now."""
+        """Return which preferences a phase may ignore by now."""
         policy = self._state.policy
         overdue_s = max(
             phase.unserved_since_s + policy.longest_wait_s,
@@ -45,62 +50,66 @@
             return Leeway()
         service = active.job.terms.service
         fitting = self._count_room(service, phase)
-        calm_s = get_calm_s(active, phase, self._now_s)
+        failure_free_s = get_failure_free_s(active, phase, self._now_s)
         leeways = [
-            make_leeway(phase, room.used, room.total, fitting, calm_s, policy)
+            make_leeway(phase, room.used, room.total, fitting, failure_free_s, policy)
             for room in self._list_rooms(service)
         ]
         return max(leeways, key=lambda one: (one.all_idle, one.some_idle))
 
     def _list_rooms(self, service: str) -> list[ServiceRoom]:
-        """Return a service's room, as a whole and without what is about to go.
+        """Return a service's room, in total and without workers that are leaving.
 
-        The half that has to be idle may be reached in either: workers that leave may
-        be full or empty.
+        Enough room is idle if it is so in either count, since leaving workers may be
+        full or empty.
         """
-        if not self._rooms:
-            self._rooms = [
+        if not self._service_rooms:
+            self._service_rooms = [
                 count_service_rooms(self._state),
                 count_service_rooms(self._state, staying=True),
             ]
-        return [rooms.get(service, ServiceRoom()) for rooms in self._rooms]
+        return [rooms.get(service, ServiceRoom()) for rooms in self._service_rooms]
 
-    def forget_room(self) -> None:
-        """Have the room counted anew, since something has started."""
-        self._room.clear()
+    def clear_room_counts(self) -> None:
+        """Clear the counts of room, after tasks have started."""
+        self._room_counts.clear()
 
     def may_fit(self, phase: Phase) -> bool:
-        """Tell whether it is worth to look for room on each usable worker.
+        """Tell whether a search for room on the usable workers may succeed.
 
-        The room is counted once a pass for each need; since it only shrinks within
-        a pass, the count stays an upper bound.
+        The room is counted once per pass and need. It only shrinks within a pass, so
+        the count remains an upper bound.
         """
         return self._count_fitting(phase.need) >= count_together(phase)
 
     def get_groups(
         self, tier: Tier, leeway: Leeway, active: ActiveJob, phase: Phase
     ) -> WorkerGroups:
-        """Return the workers that a phase goes to by preference."""
+        """Return the workers that a phase prefers."""
         groups = self.list_unreserved(tier, leeway, active, phase)
         workers = groups.whole.workers
         failed = {name for task in phase.tasks for name in task.failed_on}
         if not failed:
             return groups
         others = [worker for worker in workers if worker.name not in failed]
-        # Where a task failed it is tried again only if the rest is too small, or has
-        # been full for long: tasks waited for 9 s beside empty workers.
+        # Tasks avoid workers on which they failed only if the others could hold the
+        # phase. If those stay full, the phase gets all of them once it is overdue;
+        # without that, tasks waited for 9 s while workers were empty.
         if count_capacity(others, phase.spec) < len(phase.tasks):
             return groups
         return groups if len(others) == len(workers) else WorkerGroups(others)
 
     def list_usable(self, active: ActiveJob, phase: Phase) -> WorkerGroups:
-        """Return the usable workers, those reserved for others included."""
+        """Return the usable workers, including those reserved for other phases."""
         return self._get_usable(active.job.terms.service, phase)
 
     def list_unreserved(
         self, tier: Tier, leeway: Leeway, active: ActiveJob, phase: Phase
     ) -> WorkerGroups:
-        """Return the usable workers but for those reserved for others."""
+        """Return the usable workers, without those reserved for other phases.
+
+        Urgent work and phases that may use any rack get the reserved ones as well.
+        """
         groups = self.list_usable(active, phase)
         reservations = self._state.reservations
         if not len(reservations) or leeway.any_rack or tier <= Tier.URGENT:
@@ -109,21 +118,27 @@
         rest = [w for w in workers if reservations.is_open_to(w.name, phase.id)]
         return groups if len(rest) == len(workers) else WorkerGroups(rest)
 
-    def leave_out_suspects(self, groups: WorkerGroups) -> WorkerGroups:
-        """Leave out workers on which something runs that may crash them."""
+    def exclude_suspects(self, groups: WorkerGroups) -> WorkerGroups:
+        """Leave out workers that run tasks that may crash them."""
         suspected = self._state.list_suspect_workers()
         workers = [w for w in groups.whole.workers if w.name not in suspected]
         return WorkerGroups(workers)
 
-    def add_held(
+    def add_quarantined(
         self, tier: Tier, leeway: Leeway, active: ActiveJob, phase: Phase
     ) -> WorkerGroups:
-        """Return the usable workers and those in quarantine that may be tried."""
+        """Return the usable workers and those in quarantine that may be tried now."""
         groups = self.list_unreserved(tier, leeway, active, phase)
-        held = list_eligible(self.held, active.job.terms.service, phase.spec)
+        quarantined = list_eligible(
+            self.quarantined, active.job.terms.service, phase.spec
+        )
         state, now_s = self._state, self._now_s
-        calm = [w for w in held if state.may_probe(w, leeway.probe_calm_s, now_s)]
-        return WorkerGroups([*groups.whole.workers, *calm])
+        probeable = [
+            w
+            for w in quarantined
+            if state.may_probe(w, leeway.probe_failure_free_s, now_s)
+        ]
+        return WorkerGroups([*groups.whole.workers, *probeable])
 
     def _get_usable(self, service: str, phase: Phase) -> WorkerGroups:
         key = (service, phase.spec.label, phase.need)
@@ -134,20 +149,20 @@
         return found
 
     def _count_fitting(self, need: Resources) -> int:
-        fitting = self._fitting.get(need)
+        fitting = self._fitting_counts.get(need)
         if fitting is None:
             fitting = sum(w.free.count_fitting(need) for w in self.usable)
-            self._fitting[need] = fitting
+            self._fitting_counts[need] = fitting
         return fitting
 
     def _count_room(self, service: str, phase: Phase) -> int:
-        """Return how many tasks find room on usable workers and in quarantine."""
+        """Return how many tasks have room on usable and quarantined workers."""
         key = (service, phase.spec.label, phase.need)
-        count = self._room.get(key)
+        count = self._room_counts.get(key)
         if count is None:
             workers = self._get_usable(service, phase).whole.workers
-            held = list_eligible(self.held, service, phase.spec)
-            both = (*workers, *held)
+            quarantined = list_eligible(self.quarantined, service, phase.spec)
+            both = (*workers, *quarantined)
             count = sum(worker.free.count_fitting(phase.need) for worker in both)
-            self._room[key] = count
+            self._room_counts[key] = count
         return count
--- a/src/larkhoist/fleet/exclusion.py
+++ b/src/larkhoist/fleet/exclusion.py
@@ -1,4 +1,4 @@
-"""Name the reasons for which a worker gets no new tasks."""
+"""Find the reasons why workers get no new tasks."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class Exclusion(Enum):
-    """Name why a worker gets no new tasks; the first that applies counts."""
+    """The reasons why a worker gets no new tasks; the first that applies counts."""
 
     UNLISTED = "unlisted"
     LEAVING = "leaving"
--- a/src/larkhoist/fleet/leeway.py
+++ b/src/larkhoist/fleet/leeway.py
@@ -1,9 +1,9 @@
-"""Tell from which preferences a phase that waits is free by now.
+"""Decide which placement preferences an overdue phase may ignore.
 
-Preferences keep work from room that is free: racks of its own, the rack of its data,
-workers on which it has not failed, room that guarantees or urgent work may need,
-reservations, quarantine. What each of them waits for may never come, so that each ends
-after a time as well; rules (leases, spread limits, labels) do not.
+Preferences can keep a phase waiting although there is free room: a single rack, the
+rack of its data, workers on which it has not failed, room kept for guarantees or urgent
+work, reservations and quarantine. The preferred room may never become free, so every
+preference ends after some time. Rules (leases, spread limits, labels) always hold.
 """
 
 from dataclasses import dataclass
@@ -12,63 +12,75 @@
 from larkhoist.fleet.task import ActiveJob, Phase
 from larkhoist.ports.fleet import Resources
 
-__all__ = ["ROOM_OVER", "Leeway", "count_together", "get_calm_s", "make_leeway"]
-
-ROOM_OVER = 2
-"""How many times over there has to be room; the users ask no more."""
+__all__ = [
+    "SPARE_ROOM_FACTOR",
+    "Leeway",
+    "count_together",
+    "get_failure_free_s",
+    "make_leeway",
+]
+
+SPARE_ROOM_FACTOR = 2
+"""A phase may ignore preferences only if there is room for this many times the tasks
+that start together; the limits on waiting apply only then."""
 PROBE_AFTER_S = 2.0
-"""After this time without a failure a worker in quarantine may be tried with work that
-has waited for long and finds no other room."""
+"""Time without failures after which a worker in quarantine may be tried by an overdue
+phase that finds no other room."""
 RISKY_PROBE_AFTER_S = 6.0
-"""The same for work that would be given up after one more failure; what makes all tasks
-of a worker fail lasts for 4 to 7 s on the users' machines."""
-LONGEST_CALM_WAIT_S = 2.5
-"""Work that an owner has seen wait for so long asks for no such time any more: the
-users allow 3 s, of which looks and a start take up to 0.5. Without this end work with
-one attempt left stood still for up to 6.0 s (3 of 3,000 drawn plays). What a former
-owner saw does not count, since quarantines are not handed on."""
+"""The same for a phase whose job would end after one more failure, and for any phase
+where most room is in use. Faults that make all tasks of a worker fail last 4 to 7 s."""
+PROBE_ANY_AFTER_S = 2.5
+"""After this wait a phase no longer requires a time without failures, if at least half
+of some resource is idle. It must start within 3 s, and reports and a start take up to
+0.5 s; without this limit, phases with one attempt left waited for up to 6.0 s in 3 of
+3,000 random runs. Only the wait under the present owner counts, since quarantines are
+not handed on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leeway:
-    """Hold whether a phase has waited for as long as it may, and what room there is.
+    """Which preferences a phase may ignore, given its wait and the room that there is.
 
-    ``fits_twice`` tells that there is room for one task, or the gang, twice over,
-    ``some_idle`` that at most half is used of something that it needs, ``all_idle`` of
-    everything. A worker in quarantine is tried that has failed nothing for ``calm_s``.
+    ``overdue`` tells that the phase has waited for as long as preferences may delay it,
+    ``fits_twice`` that there is room for two of its tasks, or for its gang twice,
+    ``some_idle`` that at most half of some resource that it needs is in use,
+    ``all_idle`` that this holds for all of them. ``failure_free_s`` is the time
+    without failures after which a worker in quarantine may be tried.
     """
 
     overdue: bool = False
     fits_twice: bool = False
     some_idle: bool = False
     all_idle: bool = False
-    calm_s: float = RISKY_PROBE_AFTER_S
+    failure_free_s: float = RISKY_PROBE_AFTER_S
 
     @property
     def any_worker(self) -> bool:
-        """Tell whether it may take what guarantees and urgent work may need.
+        """Tell whether a phase may use room kept for guarantees and urgent work.
 
-        Reserved workers are not among it: what has nothing running may go there one
-        task at a time, others made a gang wait for 14 s instead of 5 s.
+        This does not include reserved workers, which only phases with no running tasks
+        may use, one task at a time: with other phases there, a gang waited for 14 s
+        instead of 5 s.
         """
         return self.fits_twice and self.some_idle
 
     @property
-    def probe_calm_s(self) -> float:
-        """Return for how long a worker in quarantine that is tried has failed nothing.
+    def probe_failure_free_s(self) -> float:
+        """Return the time without failures required to try a worker in quarantine.
 
-        Where most is in use, probes are the rule rather than the exception, and what
-        fails may fail for good.
+        Where most room is in use, many phases try such workers, and a job that fails
+        there may fail for good.
         """
-        return self.calm_s if self.any_worker else RISKY_PROBE_AFTER_S
+        return self.failure_free_s if self.any_worker else RISKY_PROBE_AFTER_S
 
     @property
     def any_rack(self) -> bool:
-        """Tell whether it may leave its racks, and go to reserved workers.
+        """Tell whether a phase may leave its racks and use reserved workers.
 
-        Elsewhere it runs three times as long. Where full accelerators stood beside idle
-        processors that cost 0.06 of worth (standard error 0.01, 24 replayed days of 88
-        workers in pairs), so that half of everything has to be idle.
+        It runs three times as long in other racks. Where only some resources were idle,
+        such as processors beside accelerators in full use, that cost 0.06 of the worth
+        served (standard error 0.01), so at least half of every resource that the phase
+        needs must be idle.
         """
         return self.all_idle
 
@@ -78,14 +90,14 @@
     used: Resources,
     total: Resources,
     fitting: int,
-    calm_s: float,
+    failure_free_s: float,
     policy: FleetPolicy,
 ) -> Leeway:
-    """Return the leeway of an overdue phase; ``fitting`` tasks find room now.
+    """Return the leeway of an overdue phase; ``fitting`` of its tasks have room now.
 
-    ``used`` and ``total`` are its service's room. Of some resources most may be idle:
-    while processor or memory ran out first, accelerators stood free for up to 20 s
-    beside work that guarantees kept waiting.
+    ``used`` and ``total`` are its service's room. Each resource is compared separately:
+    where processors or memory ran out first, accelerators were left free for up to 20 s
+    while phases waited for room kept for guarantees.
     """
     need = phase.need
     needed = (
@@ -94,14 +106,14 @@
         (need.accelerators, used.accelerators, total.accelerators),
     )
     idle = [have <= policy.idle_share * of for wanted, have, of in needed if wanted]
-    fits_twice = fitting >= ROOM_OVER * count_together(phase)
-    return Leeway(True, fits_twice, any(idle), all(idle), calm_s)
+    fits_twice = fitting >= SPARE_ROOM_FACTOR * count_together(phase)
+    return Leeway(True, fits_twice, any(idle), all(idle), failure_free_s)
 
 
-def get_calm_s(active: ActiveJob, phase: Phase, now_s: float) -> float:
-    """Return for how long a worker in quarantine must have failed nothing."""
+def get_failure_free_s(active: ActiveJob, phase: Phase, now_s: float) -> float:
+    """Return how long a worker in quarantine must have been free of failures."""
     waited_s = now_s - max(phase.unserved_since_s, phase.known_since_s)
-    if waited_s >= LONGEST_CALM_WAIT_S:
+    if waited_s >= PROBE_ANY_AFTER_S:
         return 0.0
     if _is_last_attempt(active, phase):
         return RISKY_PROBE_AFTER_S
@@ -109,7 +121,7 @@
 
 
 def count_together(phase: Phase) -> int:
-    """Return how many tasks start together at least: one, or a whole gang."""
+    """Return the least number of tasks that start together: one, or a whole gang."""
     return len(phase.tasks) if phase.spec.gang else 1
 
 
--- a/src/larkhoist/fleet/placement.py
+++ b/src/larkhoist/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Give waiting phases their workers, the most pressing first."""
+"""Place waiting phases on workers, in the order of their ranks."""
 
 import math
 
@@ -14,7 +14,7 @@
     get_used_share,
 )
 from larkhoist.fleet.room_maker import RoomMaker
-from larkhoist.fleet.shapes import Among, Shape, make_shape
+from larkhoist.fleet.shapes import SearchScope, Shape, make_shape
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import ActiveJob, Phase
 from larkhoist.fleet.wait_notes import WaitNotes
@@ -23,28 +23,31 @@
 
 __all__ = ["place_waiting"]
 
-PACE_STEP = math.log(1.2)
-"""Workers whose times differ by less than this count as equally fast; a guess."""
+SPEED_CLASS_LOG_WIDTH = math.log(1.2)
+"""Width of a speed class, as the logarithm of a ratio of run times: workers that differ
+by less than about 20 % count as equally fast."""
 CLAIMS_PER_PASS = 4
-"""How many phases look for victims in one pass; the rest do in the next, at once.
+"""How many phases may search for victims in one pass; the others search in the next
+pass, which follows at once.
 
-Bounds the time in which the owner answers nobody: 100 gangs that claim room together
-took 3.6 s in one step on 270 workers, now 59 ms at the most (``make measure``).
+Bounds how long one pass blocks the owner: without it, 100 gangs that searched at the
+same time on 270 workers took 3.6 s in one pass; with it, a pass takes up to 59 ms.
 """
-CLAIM_PAUSE_S = 0.25
-"""How long a phase waits that found no victims worth it; meanwhile work ends and
-frees room, and others that wait are looked at."""
+VICTIM_SEARCH_PAUSE_S = 0.25
+"""How long a phase waits before its next search for victims after one that found none
+worth stopping. Meanwhile running work may free room, and other phases can search."""
 
 
 APART_WAIT_S = 1.0
-"""How long a task under which a worker crashed waits for a worker without another such
-task. Two that go on together are lost together, and one of them is blamed for nothing:
-in 20 s of two tasks that crash their workers, three others met them twice or more. Less
-than the 2.7 s in which urgent work has to begin."""
+"""How long a task whose worker crashed waits for a worker that runs no other such task.
+If two of them share a worker and it crashes, both are blamed, though one may be
+harmless: with two tasks that crashed their workers for 20 s, three harmless tasks ran
+beside them at least twice. Must be below the 2.7 s within which urgent work must start.
+"""
 
 
 class _Waiting(msgspec.Struct, frozen=True):
-    """Hold a phase that could start, and its place."""
+    """A phase that could start, and its rank."""
 
     rank: Rank
     active: ActiveJob
@@ -52,13 +55,13 @@
 
 
 class _Pass:
-    """Hold what one pass over the waiting phases shares."""
+    """One pass over the waiting phases, with the state that they share."""
 
     def __init__(self, state: FleetState, guarantees: dict[str, int], now_s: float):
         self.state = state
         self.now_s = now_s
         self.room_maker = RoomMaker(state, now_s)
-        self.claims_left = CLAIMS_PER_PASS
+        self.searches_left = CLAIMS_PER_PASS
         self.unfinished = False
         self.failed: set[Shape] = set()
         self.eligible = Eligibility(state, now_s)
@@ -70,7 +73,7 @@
         state.urgent_demand.note(used, now_s)
         self.kept_for_urgent = int(state.urgent_demand.get_peak(now_s) - used)
         free = sum(max(0, worker.free.accelerators) for worker in self.usable)
-        self.open_accelerators = free - self.kept_for_urgent
+        self.available_accelerators = free - self.kept_for_urgent
         used_share = get_used_share(state)
         self.notes = WaitNotes(state, used_share, now_s)
         self.mostly_idle = used_share < state.policy.idle_share
@@ -100,7 +103,7 @@
         leeway = self.eligible.get_leeway(active, phase)
         if phase.plan:
             if self.room_maker.start_planned(phase):
-                # A plan that was lost gives room back, which found none may use now.
+                # A dropped plan frees room, so shapes that failed may fit now.
                 self.failed.clear()
             else:
                 self._start_elsewhere(tier, leeway, active, phase)
@@ -131,67 +134,69 @@
         if reason is not WaitReason.NO_ROOM:
             return
         if tier <= Tier.URGENT:
-            self._claim(rank, active, phase, groups)
+            self._search_victims(rank, active, phase, groups)
         elif may_reserve:
             self._reserve(active, phase, groups)
 
-    def _claim(self, rank: Rank, active: ActiveJob, phase: Phase, groups) -> None:
-        """Look for victims, unless the phase or the pass has to wait with that."""
+    def _search_victims(
+        self, rank: Rank, active: ActiveJob, phase: Phase, groups
+    ) -> None:
+        """Search for victims, unless this phase or pass has to postpone the search."""
         if self.now_s < phase.claim_again_s:
             return
-        if not self.claims_left:
+        if not self.searches_left:
             self.unfinished = True
             return
-        self.claims_left -= 1
+        self.searches_left -= 1
         if not self.room_maker.make_room(active, phase, groups, rank.order):
-            phase.claim_again_s = self.now_s + CLAIM_PAUSE_S
+            phase.claim_again_s = self.now_s + VICTIM_SEARCH_PAUSE_S
 
     def _start_apart(
         self, tier, leeway, active, phase
     ) -> tuple[WorkerGroups, WaitReason | None]:
-        """Start tasks one by one, each on a worker without any that may crash it."""
+        """Start tasks one by one, each on a worker without tasks that may crash it."""
         while True:
             left = len(phase.get_waiting())
             groups = self.eligible.get_groups(tier, leeway, active, phase)
-            groups = self.eligible.leave_out_suspects(groups)
-            reason = self._start(tier, leeway, active, phase, groups, Among.APART)
+            groups = self.eligible.exclude_suspects(groups)
+            reason = self._start(tier, leeway, active, phase, groups, SearchScope.APART)
             if reason is None or len(phase.get_waiting()) == left:
                 return groups, reason
 
     def _start_overdue(
         self, tier, leeway: Leeway, active, phase: Phase, reason: WaitReason
     ) -> WaitReason | None:
-        """Start what has waited for long where it would not go by preference.
+        """Start an overdue phase on workers that it would normally avoid.
 
-        First where it has failed before, then on workers in quarantine, which would be
-        waited for for half a minute, in other racks, and last on workers reserved for
-        others. ``reason`` is why it has not started yet.
+        These are, in order: workers on which it has failed, workers in quarantine
+        (which lasts at least half a minute), other racks, and workers reserved for
+        others. ``reason`` is why the phase has not started yet.
         """
         left = len(phase.get_waiting())
-        for among in self._list_last_resorts(leeway, phase):
-            groups = self._get_last_resort(among, tier, leeway, active, phase)
-            reason = self._start(tier, leeway, active, phase, groups, among)
+        for scope in self._list_last_resorts(leeway, phase):
+            groups = self._get_last_resort(scope, tier, leeway, active, phase)
+            reason = self._start(tier, leeway, active, phase, groups, scope)
             if reason is None or len(phase.get_waiting()) < left:
                 break
         return reason
 
-    def _list_last_resorts(self, leeway: Leeway, phase: Phase) -> list[Among]:
-        """Return where a phase that has waited for long may go, in this order."""
+    def _list_last_resorts(self, leeway: Leeway, phase: Phase) -> list[SearchScope]:
+        """Return where an overdue phase may search for room, in order."""
         last_resorts = (
-            (any(task.failed_on for task in phase.tasks), Among.USABLE),
-            (self._may_probe(leeway, phase), Among.QUARANTINED),
-            (self._may_leave_rack(leeway, phase), Among.ANY_RACK),
-            (self._may_use_reserved(leeway, phase), Among.RESERVED),
+            (any(task.failed_on for task in phase.tasks), SearchScope.USABLE),
+            (self._may_probe(leeway, phase), SearchScope.QUARANTINED),
+            (self._may_leave_rack(leeway, phase), SearchScope.ANY_RACK),
+            (self._may_use_reserved(leeway, phase), SearchScope.RESERVED),
         )
-        return [among for applies, among in last_resorts if applies]
+        return [scope for applies, scope in last_resorts if applies]
 
     def _get_last_resort(
-        self, among: Among, tier: Tier, leeway: Leeway, active, phase: Phase
+        self, scope: SearchScope, tier: Tier, leeway: Leeway, active, phase: Phase
     ) -> WorkerGroups:
-        match among:
-            case Among.QUARANTINED:
-                return self.eligible.add_held(tier, leeway, active, phase)
-            case Among.RESERVED:
+        match scope:
+            case SearchScope.QUARANTINED:
+                return self.eligible.add_quarantined(tier, leeway, active, phase)
+            case SearchScope.RESERVED:
                 return self.eligible.list_usable(active, phase)
             case _:
                 return self.eligible.list_unreserved(tier, leeway, active, phase)
@@ -199,31 +204,32 @@
     def _may_probe(self, leeway: Leeway, phase: Phase) -> bool:
         """Tell whether a phase may try workers in quarantine.
 
-        Where most is in use, only one that has nothing running may.
+        If more than half of each resource that it needs is in use, only a phase with
+        no running tasks may.
         """
-        if not self.eligible.held or not leeway.fits_twice:
+        if not self.eligible.quarantined or not leeway.fits_twice:
             return False
-        return leeway.any_worker or _stands(phase)
+        return leeway.any_worker or _has_none_running(phase)
 
     def _may_leave_rack(self, leeway: Leeway, phase: Phase) -> bool:
-        """Tell whether a phase may leave its racks though more than half is used.
+        """Tell whether a phase may leave its racks though its leeway alone forbids it.
 
-        Only one that has nothing running may.
+        Only a phase with no running tasks may.
         """
         spec = phase.spec
         if leeway.any_rack or not (spec.same_rack or spec.data_rack):
             return False
-        return leeway.fits_twice and _stands(phase)
+        return leeway.fits_twice and _has_none_running(phase)
 
     def _may_use_reserved(self, leeway: Leeway, phase: Phase) -> bool:
         """Tell whether a phase may use workers reserved for others.
 
-        Only one that has nothing running may, one task or gang at a time: those for
-        which they are reserved wait longer beside it.
+        Only a phase with no running tasks may, one task or gang at a time, because it
+        delays the phases for which the workers are reserved.
         """
         if not len(self.state.reservations):
             return False
-        return leeway.fits_twice and _stands(phase)
+        return leeway.fits_twice and _has_none_running(phase)
 
     def _start(
         self,
@@ -232,30 +238,36 @@
         active,
         phase,
         groups,
-        among: Among = Among.PREFERRED,
+        scope: SearchScope = SearchScope.PREFERRED,
     ) -> WaitReason | None:
-        """Start what finds room; return why something is left, None if nothing."""
+        """Start the tasks that find room.
+
+        Returns why tasks are left waiting, or None if all have started.
+        """
         count = len(phase.get_waiting())
-        if among is Among.APART and not phase.spec.gang:
+        if scope is SearchScope.APART and not phase.spec.gang:
             count = 1
-        if _is_one_at_a_time(among, leeway):
+        if _is_one_at_a_time(scope, leeway):
             count = min(count, count_together(phase))
         if not self.mostly_idle:
             allowed = self._count_allowed(active, phase, count)
             if leeway.overdue:
-                allowed = max(allowed, _count_overdue(leeway, phase))
+                allowed = max(allowed, _count_allowed_overdue(leeway, phase))
             count = min(count, allowed)
         if not groups.whole.workers:
             return WaitReason.NO_WORKER
         if count == 0 or phase.spec.gang and count < len(phase.tasks):
-            return self._get_hold(phase)
-        # Room only shrinks within a pass: what found none finds none again.
+            return self._get_kept_reason(phase)
+        # Room only shrinks within a pass, so a search that failed need not be repeated.
         own = phase.id if self.state.reservations.get(phase.id) else None
-        shape = make_shape(active, phase, tier, leeway, count, own, among)
+        shape = make_shape(active, phase, tier, leeway, count, own, scope)
         if shape in self.failed:
             return WaitReason.NO_ROOM
         search = (groups, tier, phase, count)
-        anywhere = leeway.any_rack or among in (Among.ANY_RACK, Among.RESERVED)
+        anywhere = leeway.any_rack or scope in (
+            SearchScope.ANY_RACK,
+            SearchScope.RESERVED,
+        )
         places = self._find_unreserved(*search, anywhere=anywhere)
         if not places:
             places = self._find_places(*search, anywhere=anywhere)
@@ -268,7 +280,7 @@
     def _find_unreserved(
         self, groups: WorkerGroups, tier: Tier, phase: Phase, count: int, *, anywhere
     ) -> list[str]:
-        """Look for room beside what is reserved; urgent work may go there too."""
+        """Search unreserved workers first for urgent work, which may use any worker."""
         if tier > Tier.URGENT or not len(self.state.reservations):
             return []
         is_open_to = self.state.reservations.is_open_to
@@ -279,11 +291,11 @@
     def _start_elsewhere(
         self, tier: Tier, leeway: Leeway, active: ActiveJob, phase: Phase
     ) -> None:
-        """Start a phase that waits for stops where all of it finds room by now.
+        """Start a phase that waits for victims to stop, if all of it fits elsewhere.
 
-        A stop takes 0.45 s at half, 0.9 s at worst, and the slowest one counts;
-        meanwhile other tasks end. Gains 0.015 of worth (standard error 0.008, paired
-        over 45 days of three deployments).
+        The phase waits for the slowest stop (median 0.45 s, at most 0.9 s), and other
+        tasks may end before that. Gains 0.015 of the worth
+        served (standard error 0.008).
         """
         plan = dict(phase.plan)
         self.state.drop_plan(phase)
@@ -307,7 +319,7 @@
             count,
             phase.count_taken(),
             lambda worker: worker.free,
-            self._choose_pace(tier, phase),
+            self._choose_sort_key(tier, phase),
         )
 
     def _has_suspects(self, phase: Phase) -> bool:
@@ -315,21 +327,21 @@
             return False
         return any(task.lost.blamed for task in phase.get_waiting())
 
-    def _choose_pace(self, tier: Tier, phase: Phase):
-        """Return by what workers are preferred, None for those with least room.
+    def _choose_sort_key(self, tier: Tier, phase: Phase):
+        """Return the key by which workers are preferred, None for the least room.
 
-        What may crash its worker goes where the least runs: of 270 workers it then ends
-        14 runs of others in a day instead of 29 (replay of crashes, 8 days).
+        Tasks that may crash their worker go where the fewest tasks run: on 270 workers
+        this reduced the runs of others that they ended from 29 to 14 a day.
         """
         if self._has_suspects(phase):
             return _count_tasks
         if tier <= Tier.URGENT or phase.spec.gang:
-            return self._get_pace
+            return self._get_speed_class
         return None
 
-    def _get_pace(self, worker: FleetWorker) -> int:
+    def _get_speed_class(self, worker: FleetWorker) -> int:
         factor = self.state.speeds.get_factor(worker.name)
-        return round(math.log(factor) / PACE_STEP)
+        return round(math.log(factor) / SPEED_CLASS_LOG_WIDTH)
 
     def _note_wait(self, phase: Phase, reason: WaitReason, tier: Tier, workers) -> None:
         self.notes.note(
@@ -345,34 +357,35 @@
         self.state.reservations.drop(phase.id)
         chosen = phase.get_waiting()[: len(places)]
         taken = phase.spec.accelerators * len(places)
-        self.open_accelerators -= taken
+        self.available_accelerators -= taken
         if active.priority != 0 and not phase.spec.checkpoints:
             self.room_without_checkpoints -= taken
         by_index = {task.index: name for task, name in zip(chosen, places, strict=True)}
         self.state.assign(phase, by_index, self.now_s)
-        self.eligible.forget_room()
+        self.eligible.clear_room_counts()
 
     def _count_allowed(self, active: ActiveJob, phase: Phase, wanted: int) -> int:
-        """Bound other work by what urgent work may need.
+        """Return how many tasks may start without taking room that is kept.
 
-        What can't be stopped cheaply is bounded by the guarantees as well.
+        Room is kept from all but urgent work for what urgent work may need, and from
+        tasks without checkpoints, which are costly to stop, for guarantees as well.
         """
         spec = phase.spec
         if active.priority == 0 or not spec.accelerators:
             return wanted
-        room = self.open_accelerators
+        room = self.available_accelerators
         if not spec.checkpoints:
             room = min(room, self.room_without_checkpoints)
         return max(0, room) // spec.accelerators
 
-    def _get_hold(self, phase: Phase) -> WaitReason:
-        """Return for what the room is kept that a phase does not get."""
+    def _get_kept_reason(self, phase: Phase) -> WaitReason:
+        """Return which kind of work the room is kept for that a phase may not use."""
         bounded = not phase.spec.checkpoints
-        if bounded and self.room_without_checkpoints < self.open_accelerators:
+        if bounded and self.room_without_checkpoints < self.available_accelerators:
             return WaitReason.KEPT_FOR_GUARANTEES
         return WaitReason.KEPT_FOR_URGENT
 
-    # Room that is kept for gangs that wait.
+    # Reservations for waiting gangs.
 
     def _may_reserve(self, tier: Tier, phase: Phase, waited_s: float) -> bool:
         return (
@@ -383,23 +396,25 @@
 
     def _reserve(self, active, phase: Phase, groups: WorkerGroups) -> None:
         wanted = groups.list_groups(phase.spec, len(phase.tasks))
-        most = int(self.state.policy.reserved_share * len(self.usable))
+        max_reserved = int(self.state.policy.reserved_share * len(self.usable))
         reservations = self.state.reservations
-        kept = reservations.reserve(self.state, phase, wanted, most, self.now_s)
-        if kept is None:
+        reservation = reservations.reserve(
+            self.state, phase, wanted, max_reserved, self.now_s
+        )
+        if reservation is None:
             return
         self.state.note(
             "reserved",
             job=phase.id.job_id,
             step=phase.id.step,
-            workers=len(kept.workers),
-            expected_s=round(kept.free_s - self.now_s, 3),
+            workers=len(reservation.workers),
+            expected_s=round(reservation.free_s - self.now_s, 3),
         )
-        for name in sorted(kept.workers):
-            self._clear(active, self.state.workers[name])
+        for name in sorted(reservation.workers):
+            self._stop_checkpointed(active, self.state.workers[name])
 
-    def _clear(self, active, worker: FleetWorker) -> None:
-        """Stop what is less urgent and keeps its progress."""
+    def _stop_checkpointed(self, active, worker: FleetWorker) -> None:
+        """Stop less urgent tasks on a worker that write checkpoints."""
         for other, task in self.state.list_tasks_on(worker):
             holder = self.state.jobs[other.id.job_id]
             if holder.priority <= active.priority or not other.spec.checkpoints:
@@ -412,37 +427,41 @@
 
 
 def place_waiting(state: FleetState, guarantees: dict[str, int], now_s: float) -> bool:
-    """Start what can start, make room for what is urgent.
+    """Start the phases that find room, and stop others to make room for urgent ones.
 
-    Returns whether claims are left for a next pass, which may follow at once.
+    Returns whether phases still have to search for victims. The next pass may follow at
+    once.
     """
     one = _Pass(state, guarantees, now_s)
     one.run()
     return one.unfinished
 
 
-def _count_overdue(leeway: Leeway, phase: Phase) -> int:
-    """Return how much may start that others' claims have kept waiting for long.
+def _count_allowed_overdue(leeway: Leeway, phase: Phase) -> int:
+    """Return how many tasks of an overdue phase may use room kept for other work.
 
-    All where half of the room is idle, one task or gang where it fits twice over. Who
-    claims a guarantee may stop it.
+    All of them where half of some resource that it needs is idle, else one task or
+    gang if there is room for two. Work within a guarantee may still stop them.
     """
     if leeway.any_worker:
         return len(phase.tasks)
     return count_together(phase) if leeway.fits_twice else 0
 
 
-def _stands(phase: Phase) -> bool:
-    """Tell whether nothing of a phase runs; tasks that last count one by one."""
+def _has_none_running(phase: Phase) -> bool:
+    """Tell whether no task of a phase runs.
+
+    True for any long-running step, since each of its tasks counts on its own.
+    """
     return phase.is_off_workers or phase.spec.long_running
 
 
-def _is_one_at_a_time(among: Among, leeway: Leeway) -> bool:
-    """Tell whether one task, or a gang, of a phase goes there in one decision."""
-    match among:
-        case Among.ANY_RACK | Among.RESERVED:
+def _is_one_at_a_time(scope: SearchScope, leeway: Leeway) -> bool:
+    """Tell whether only one task or gang may start in this scope at a time."""
+    match scope:
+        case SearchScope.ANY_RACK | SearchScope.RESERVED:
             return True
-        case Among.QUARANTINED:
+        case SearchScope.QUARANTINED:
             return not leeway.any_worker
         case _:
             return False
--- a/src/larkhoist/fleet/placing.py
+++ b/src/larkhoist/fleet/placing.py
@@ -1,7 +1,7 @@
 """Find workers with free room for the tasks of one phase.
 
-Tasks go where the least room is left over, so that whole workers and racks stay
-free for those that need them.
+Tasks go where the least room is left over (best fit), so that whole workers and racks
+stay free for tasks that need them.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,13 +21,13 @@
 ]
 
 GetFree = Callable[[FleetWorker], Resources]
-GetPace = Callable[[FleetWorker], int]
+GetSortKey = Callable[[FleetWorker], int]
 
 
 def list_eligible(
     workers: Iterable[FleetWorker], service: str, spec: StepSpec
 ) -> list[FleetWorker]:
-    """Return those of the usable workers that may run the step at all."""
+    """Return the workers that could run a task of the step when empty."""
     need = spec.need
     return [
         worker
@@ -40,13 +40,13 @@
 
 @dataclass(eq=False, slots=True)
 class WorkerGroup:
-    """Hold workers that a step may run on together, compared by identity."""
+    """Workers that a step may run on together; compared by identity."""
 
     workers: list[FleetWorker]
 
 
 class WorkerGroups:
-    """Hold workers that may run a step, by rack; for one need and one pass."""
+    """The workers that may run a step, also by rack, for one need and one pass."""
 
     def __init__(self, workers: list[FleetWorker]):
         self.whole = WorkerGroup(workers)
@@ -54,10 +54,11 @@
         self._capacities: dict[WorkerGroup, int] = {}
 
     def list_groups(self, spec: StepSpec, count: int) -> list[WorkerGroup]:
-        """Return the sets of workers that the step should run on, each on its own.
+        """Return the groups of workers in which to search for room for the step.
 
-        Data elsewhere and a gang on several racks make the step several times as
-        slow, so that it waits for a rack as long as one could hold it when empty.
+        Remote data, or a gang spread over several racks, makes a step several times
+        slower. The step therefore waits for its rack, or for a single rack, as long as
+        there is one that could hold it when empty.
         """
         if spec.data_rack:
             near = self._get_racks().get(spec.data_rack)
@@ -94,21 +95,22 @@
     count: int,
     taken: dict[str, int],
     get_free: GetFree,
-    get_pace: GetPace | None = None,
+    get_sort_key: GetSortKey | None = None,
 ) -> list[str]:
     """Return workers for up to ``count`` tasks; all of them or none for a gang.
 
-    ``get_pace`` says in which order workers are taken, the lowest first; groups go by
-    the highest pace among the workers that are taken there. ``taken`` counts the tasks
-    of the phase that are on a worker already.
+    Workers are taken in the order of ``get_sort_key``, the lowest first. Groups are
+    compared by the number of tasks that they hold, then by the highest key among the
+    workers taken there, then by the accelerators left.
+    ``taken`` counts the tasks of the phase that each worker already runs.
     """
     best: list[str] = []
     best_key = (0, 0, 0)
     for group in groups:
-        found = _fill(group.workers, spec, count, taken, get_free, get_pace)
+        found = _fill(group.workers, spec, count, taken, get_free, get_sort_key)
         if spec.gang and len(found.places) < count:
             continue
-        key = (-len(found.places), found.pace, found.left)
+        key = (-len(found.places), found.sort_key, found.left)
         if found.places and (not best or key < best_key):
             best, best_key = found.places, key
     return best
@@ -116,33 +118,33 @@
 
 @dataclass(frozen=True, slots=True)
 class _Filled:
-    """Hold places in one group, their highest pace, the accelerators left there."""
+    """Places in one group, their highest sort key, and the accelerators left there."""
 
     places: list[str]
-    pace: int
+    sort_key: int
     left: int
 
 
-def _fill(group, spec, count, taken, get_free, get_pace) -> _Filled:
+def _fill(group, spec, count, taken, get_free, get_sort_key) -> _Filled:
     rooms = []
     need, limit = spec.need, spec.spread_limit
     for worker in group:
         free = get_free(worker)
         fitting = count_fitting(free, need, limit, taken.get(worker.name, 0))
         if fitting > 0:
-            pace = get_pace(worker) if get_pace is not None else 0
-            room = (pace, free.accelerators, free.cpu_milli, worker.name, fitting)
+            sort_key = get_sort_key(worker) if get_sort_key is not None else 0
+            room = (sort_key, free.accelerators, free.cpu_milli, worker.name, fitting)
             rooms.append(room)
     rooms.sort()
     places: list[str] = []
-    slowest = 0
-    for pace, _, _, name, fitting in rooms:
+    highest = 0
+    for sort_key, _, _, name, fitting in rooms:
         places += [name] * min(fitting, count - len(places))
-        slowest = pace
+        highest = sort_key
         if len(places) == count:
             break
     left = sum(room[1] for room in rooms) - len(places) * spec.accelerators
-    return _Filled(places, slowest, left)
+    return _Filled(places, highest, left)
 
 
 def count_capacity(workers: list[FleetWorker], spec: StepSpec) -> int:
--- a/src/larkhoist/fleet/policy.py
+++ b/src/larkhoist/fleet/policy.py
@@ -1,4 +1,4 @@
-"""Hold the bounds that the scheduler of staged jobs decides by."""
+"""Define the limits that the scheduler of staged jobs uses in its decisions."""
 
 from dataclasses import dataclass
 
@@ -9,44 +9,47 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPolicy:
-    """Hold times in seconds; the platform's settings give the first three.
-
-    ``lease_s`` is the longest lease of a worker, ``predecessor_s`` how long an owner
-    that lost touch with the log goes on renewing leases, ``stop_s`` how long a worker
-    may take to stop.
-
-    ``departing_lease_s`` is the lease of a worker that leaves, or has been off the
-    list for ``unlisted_patience_s``: an entry that lapsed with the list's keeper is
-    back within two seconds. Nothing but the end of its lease tells that such a
-    worker has ended, so that a short one lets its tasks go on elsewhere sooner; it
-    outlasts one call without an answer (1.3 s until the next).
-
-    A worker that refuses a start, also for want of room, gets no other for
-    ``refused_pause_s``, twice as long with each refusal in a row, at most
-    ``longest_refused_pause_s``: with pauses of one length work came back to four full
-    workers for ever, beside four empty ones.
-
-    Work that keeps its progress is saved at a stop as well: stopping it costs
-    ``restore_s`` of work at the most. Gains 0.022 of worth against all work since the
-    last checkpoint (standard error 0.009, 48 replayed days of 50 workers in pairs).
-
-    Urgent work beyond a guarantee may throw away ``timely_work_ratio`` times its
-    own work where it is still in time after the stops, else ``late_work_ratio``: by
-    the users' prices it earns some 3.6 times what redoing as much work costs, and a
-    fifth of that when late.
-
-    As much is counted as lost where urgent work itself is stopped for guarantees.
-
-    A gang that has waited for ``reserve_after_s`` gets workers of its own, as long as
-    not more than ``reserved_share`` of all are reserved: beyond, what they leave idle
-    costs more than the gangs earn (0.15 against 0.3 and 0.5: 0.020 and 0.015 of worth,
-    standard error of each against one base 0.009, 42 replayed days of 50 workers).
-
-    While less than ``idle_share`` of the workers' room is used, guarantees keep
-    nobody waiting. A phase of which nothing has started for ``longest_wait_s`` is no
-    longer kept from room by preferences (``fleet/leeway.py``); the users allow 3 s, of
-    which looks and starts take up to 0.6. A new owner keeps to them for at least
-    ``taken_over_wait_s``, in which the workers answer.
+    """Limits of the scheduler of staged jobs.
+
+    Times are in seconds. ``lease_s``, ``stop_s`` and ``restore_s`` are set from the
+    settings of the platform.
+
+    ``lease_s`` is the longest lease of a worker. ``predecessor_s`` is how long an owner
+    that has lost contact with the log may go on renewing leases. ``stop_s`` is how long
+    a worker may take to stop a task.
+
+    ``departing_lease_s`` is the lease of a worker that is leaving, or that has been off
+    the list of workers for ``unlisted_patience_s``. An entry that expired because the
+    process that keeps the list was down is back within 2 s. Only the end of its lease
+    proves that such a worker has ended, so a short lease lets its tasks restart
+    elsewhere sooner. The lease is longer than the 1.3 s from an unanswered call to the
+    next one.
+
+    A worker that refuses a start, for lack of room or another reason, gets no tasks for
+    ``refused_pause_s``. The pause doubles with each refusal in a row, up to
+    ``longest_refused_pause_s``: with a constant pause, tasks kept returning to four
+    full workers while four others were empty.
+
+    A task that writes checkpoints also writes one when it is stopped, so stopping it
+    costs at most ``restore_s`` of work rather than all work since the last checkpoint.
+    Counting it so gains 0.022 of the worth served (standard error 0.009).
+
+    To make room for urgent work beyond a guarantee, stops may lose up to
+    ``timely_work_ratio`` times its own work if it can still be in time after them,
+    else ``late_work_ratio`` times. In time it earns about 3.6 times what redoing as
+    much work costs, when late a fifth of that. ``timely_work_ratio`` times its work is
+    also the cost added when urgent work itself is stopped for guaranteed work.
+
+    A gang that has waited for ``reserve_after_s`` gets reserved workers, as long as no
+    more than ``reserved_share`` of all usable workers are reserved. With a larger
+    share, the room left idle costs more than the gangs earn: 0.3 and 0.5 lose 0.020 and
+    0.015 of the worth served against 0.15 (standard error 0.009 each).
+
+    While less than ``idle_share`` of the workers' room is in use, no room is kept for
+    guarantees and urgent work. A phase of which no task has started for
+    ``longest_wait_s`` may ignore preferences (``fleet/leeway.py``): it must start
+    within 3 s, and reports and starts take up to 0.6 s. A new owner applies the
+    preferences for at least ``taken_over_wait_s``, in which the workers answer.
     """
 
     lease_s: float = 10.0
@@ -70,13 +73,13 @@
 
     @property
     def lapse_s(self) -> float:
-        """Return after how long the longest lease is surely over."""
+        """Return the time after which the longest lease has certainly ended."""
         return self.get_lapse_s(self.lease_s)
 
     def get_lapse_s(self, lease_s: float) -> float:
-        """Return after how long a lease that is not renewed is surely over.
+        """Return the time after which a lease that is not renewed has certainly ended.
 
-        It ends at a time on the worker's clock that was at most ``lease_s`` ahead
-        when the call was made, however late the call is carried out.
+        The lease ends at a fixed time of the worker's clock, at most ``lease_s`` after
+        the call that granted it was sent, however late the worker handles the call.
         """
         return lease_s / (1 - CLOCK_DRIFT) + self.lease_slack_s
--- a/src/larkhoist/fleet/preemption.py
+++ b/src/larkhoist/fleet/preemption.py
@@ -1,8 +1,9 @@
 """Choose which running tasks to stop so that a phase finds room.
 
-Answers bursts of urgent gangs on full workers: what a worker's room costs is worked
-out once for each need and again only where a claim has changed it, so that a claim
-costs in proportion to the racks it looks at, not to the tasks that run.
+Must stay fast when many urgent gangs arrive at once on full workers. The cost of room
+on a worker is therefore computed once for each need and cached until its free room or
+its victims change, so that the time of a search grows with the racks searched, not with
+the running tasks.
 """
 
 from collections import defaultdict
@@ -18,21 +19,21 @@
 from larkhoist.jobs.spec import StepSpec
 from larkhoist.ports.fleet import Resources
 
-__all__ = ["Claim", "Room", "VictimIndex", "make_claim"]
+__all__ = ["Preemptor", "Room", "VictimIndex", "make_preemptor"]
 
 GROUPS_ESTIMATED = 4
-"""How many groups of workers are estimated before one is chosen, the cheapest by
-accelerator first; the next ones only where none of these has the room. With 4 racks of
-42 the longest decision with 30 urgent gangs on 832 workers went from 329 to 158 ms; on
-270 workers it gained nothing (82 and 93 ms, ``make measure``, one run each)."""
+"""How many groups of workers are estimated before one is chosen, in the order of their
+cost per accelerator. More are estimated only if none of these has the room. With 4 of
+42 racks, the longest decision for 30 urgent gangs on 832 workers takes 158 ms instead
+of 329 ms; on 270 workers there is no gain (82 and 93 ms)."""
 GROUPS_TRIED = 2
-"""How many groups of workers are worked out in full, the cheapest by estimate first:
-gangs that run on several workers make the estimate of a group a little wrong."""
+"""For how many groups of workers victims are chosen in full, the cheapest by estimate
+first. Estimates are slightly off where gangs run on several workers."""
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """Hold what decides whom a claimant may stop."""
+class Preemptor:
+    """What decides which victims a job may stop."""
 
     priority: int
     firm: bool
@@ -44,20 +45,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Room:
-    """Hold a worker for each task, and the victims to stop for them."""
+    """A worker for each task, and the victims to stop for them."""
 
     places: list[str]
     victims: list[Victim]
 
     @property
     def cost(self) -> float:
-        """Return what the stops throw away, in core-seconds."""
+        """Return the work that the stops lose, in core-seconds."""
         return sum(victim.cost for victim in self.victims)
 
 
 @dataclass(frozen=True, slots=True)
-class _Curve:
-    """Hold the slots of a worker, in order; ``free`` is the room they are based on."""
+class _CostCurve:
+    """The slots of a worker, in order of use, computed for its ``free`` room."""
 
     free: Resources
     slots: tuple[Slot, ...]
@@ -65,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Estimate:
-    """Hold what a group's slots cost, and the curves that this is based on."""
+    """The cost of a group's slots, and the cost curves from which it was computed."""
 
-    curves: tuple[_Curve, ...]
+    curves: tuple[_CostCurve, ...]
     cost: float | None
 
-    def is_valid(self, group: WorkerGroup, curves: dict[str, _Curve]) -> bool:
-        """Tell whether every worker of the group is as it was."""
+    def is_valid(self, group: WorkerGroup, curves: dict[str, _CostCurve]) -> bool:
+        """Tell whether no worker of the group has changed since the estimate."""
         for worker, curve in zip(group.workers, self.curves, strict=True):
             if curve.free is not worker.free or curves.get(worker.name) is not curve:
                 return False
@@ -80,7 +81,7 @@
 
 @dataclass(slots=True)
 class _Choice:
-    """Hold the workers of one group while slots are taken there."""
+    """The workers of one group while slots are taken there."""
 
     workers: dict[str, FleetWorker]
     gained: dict[str, Resources] = field(default_factory=dict)
@@ -88,13 +89,13 @@
     taken: dict[str, int] = field(default_factory=lambda: defaultdict(int))
 
     def get_free(self, name: str) -> Resources:
-        """Return the room of a worker once the chosen victims have stopped."""
+        """Return the free room of a worker once the chosen victims have stopped."""
         free = self.workers[name].free
         gained = self.gained.get(name)
         return free if gained is None else free + gained
 
     def gain(self, victim: Victim, sign: int) -> None:
-        """Count the room of a victim as free, or no longer."""
+        """Add a victim's room to the free room (``sign`` 1), or subtract it (-1)."""
         need = victim.phase.need.scale(sign)
         for task in victim.tasks:
             have = self.gained.get(task.worker, Resources())
@@ -102,7 +103,7 @@
 
 
 class _Heap:
-    """Hold the next slot of each worker, the cheapest first."""
+    """A heap of the next slot of each worker, the cheapest first."""
 
     def __init__(self):
         self._heap: list[tuple[float, str, int, int]] = []
@@ -115,12 +116,12 @@
             heappush(self._heap, entry)
 
     def replace(self, name: str, slots: tuple[Slot, ...]) -> None:
-        """Put the first of new slots in the place of those before."""
+        """Replace all earlier slots of a worker by the first of the new ones."""
         self._versions[name] += 1
         self.push(name, slots, 0)
 
     def pop(self) -> tuple[str, int] | None:
-        """Take out the worker and the number of the cheapest slot."""
+        """Remove the cheapest slot; return its worker and number, None if empty."""
         while self._heap:
             _, name, number, version = heappop(self._heap)
             if version == self._versions[name]:
@@ -129,21 +130,21 @@
 
 
 class VictimIndex:
-    """Hold by worker what may be stopped there, for one pass at one time.
+    """The victims on each worker, for one pass at one time.
 
-    Guaranteed work is left out, but for what the job ``firm_for`` may stop of it.
+    Guaranteed work is left out, except what ``preempting_job`` may stop of it.
     """
 
     def __init__(
-        self, state: FleetState, now_s: float, firm_for: ActiveJob | None = None
+        self, state: FleetState, now_s: float, preempting_job: ActiveJob | None = None
     ):
         self._by_worker: dict[str, list[LocalVictim]] = defaultdict(list)
-        self._curves: dict[tuple[Resources, Claim], dict[str, _Curve]] = defaultdict(
-            dict
+        self._curves: dict[tuple[Resources, Preemptor], dict[str, _CostCurve]] = (
+            defaultdict(dict)
         )
         self._estimates: dict[tuple, _Estimate] = {}
-        self._prices: dict[Claim, dict[str, tuple[float, int]]] = defaultdict(dict)
-        for victim in iter_victims(state, now_s, firm_for):
+        self._prices: dict[Preemptor, dict[str, tuple[float, int]]] = defaultdict(dict)
+        for victim in iter_victims(state, now_s, preempting_job):
             for name in victim.workers:
                 self._by_worker[name].append(make_local(victim, name))
 
@@ -153,60 +154,63 @@
         spec: StepSpec,
         count: int,
         taken: dict[str, int],
-        claim: Claim,
+        preemptor: Preemptor,
     ) -> Room | None:
-        """Return the room for all ``count`` tasks at the least cost, if there is any.
+        """Return the cheapest room found for ``count`` tasks, None if there is none.
 
-        ``taken`` counts the tasks of the phase that are on a worker already.
+        ``taken`` counts the tasks of the phase that each worker already runs.
         """
-        ranked = self._rank_groups(groups, spec, count, claim)
+        ranked = self._rank_groups(groups, spec, count, preemptor)
         estimates = []
         for number, group in enumerate(ranked):
             if number % GROUPS_ESTIMATED == 0 and estimates:
                 break
-            cost = self._estimate(group, spec, count, taken, claim)
+            cost = self._estimate(group, spec, count, taken, preemptor)
             if cost is not None:
                 estimates.append((cost, number, group))
         estimates.sort(key=lambda one: one[:2])
         found = [
-            self._choose(group.workers, spec, count, taken, claim)
+            self._choose(group.workers, spec, count, taken, preemptor)
             for _, _, group in estimates[:GROUPS_TRIED]
         ]
         rooms = [room for room in found if room is not None]
         return min(rooms, key=lambda room: room.cost, default=None)
 
     def drop(self, victim: Victim) -> None:
-        """Take a victim that was stopped off the index."""
+        """Remove a victim that was stopped."""
         for name in victim.workers:
             rest = [one for one in self._by_worker[name] if one.victim is not victim]
             self._by_worker[name] = rest
             for known in (*self._curves.values(), *self._prices.values()):
                 known.pop(name, None)
 
-    # Which groups to look at.
+    # Ranking groups.
 
-    def _rank_groups(self, groups, spec, count, claim) -> list[WorkerGroup]:
-        """Return the groups that may have the room, the cheapest first."""
+    def _rank_groups(self, groups, spec, count, preemptor) -> list[WorkerGroup]:
+        """Return the groups that may have the room, the cheapest first.
+
+        Few groups are returned as they are, since all of them are estimated.
+        """
         if len(groups) <= GROUPS_ESTIMATED:
             return groups
         wanted = count * spec.accelerators
         priced = []
         for number, group in enumerate(groups):
-            cost, room = self._get_price(group, claim)
+            cost, room = self._get_price(group, preemptor)
             if room >= wanted:
                 priced.append((cost / max(room, 1), number))
         priced.sort()
         return [groups[number] for _, number in priced]
 
-    def _get_price(self, group: WorkerGroup, claim: Claim) -> tuple[float, int]:
-        """Return what all stops in a group cost, and the accelerators free then."""
-        prices = self._prices[claim]
+    def _get_price(self, group: WorkerGroup, preemptor: Preemptor) -> tuple[float, int]:
+        """Return the cost of all stops in a group and the accelerators then free."""
+        prices = self._prices[preemptor]
         cost = 0.0
         room = 0
         for worker in group.workers:
             price = prices.get(worker.name)
             if price is None:
-                victims = self._list_victims(worker.name, claim)
+                victims = self._list_victims(worker.name, preemptor)
                 price = prices[worker.name] = (
                     sum(one.cost for one in victims),
                     sum(one.gain.accelerators for one in victims),
@@ -215,33 +219,33 @@
             room += price[1] + worker.free.accelerators
         return cost, room
 
-    def _list_victims(self, name: str, claim: Claim) -> list[LocalVictim]:
+    def _list_victims(self, name: str, preemptor: Preemptor) -> list[LocalVictim]:
         victims = self._by_worker.get(name, ())
-        return [one for one in victims if claim.may_stop(one.victim)]
+        return [one for one in victims if preemptor.may_stop(one.victim)]
 
-    # Estimates.
+    # Estimating groups.
 
-    def _estimate(self, group, spec, count, taken, claim) -> float | None:
-        """Return what the cheapest slots of a group cost, None if they are too few."""
+    def _estimate(self, group, spec, count, taken, preemptor) -> float | None:
+        """Return the cost of a group's cheapest slots, None if there are too few."""
         if spec.spread_limit:
-            costs = self._list_costs(group, spec, count, taken, claim)
+            costs = self._list_costs(group, spec, count, taken, preemptor)
             return sum(costs) if len(costs) == count else None
-        curves = self._curves[spec.need, claim]
-        key = (group, spec.need, claim, count)
+        curves = self._curves[spec.need, preemptor]
+        key = (group, spec.need, preemptor, count)
         known = self._estimates.get(key)
         if known is not None and known.is_valid(group, curves):
             return known.cost
-        costs = self._list_costs(group, spec, count, taken, claim)
+        costs = self._list_costs(group, spec, count, taken, preemptor)
         cost = sum(costs) if len(costs) == count else None
         based_on = tuple(curves[worker.name] for worker in group.workers)
         self._estimates[key] = _Estimate(based_on, cost)
         return cost
 
-    def _list_costs(self, group, spec, count, taken, claim) -> list[float]:
+    def _list_costs(self, group, spec, count, taken, preemptor) -> list[float]:
         """Return the costs of the cheapest slots of a group, ``count`` at the most."""
         curves = []
         for worker in group.workers:
-            slots = self._get_curve(worker, spec, claim).slots
+            slots = self._get_curve(worker, spec, preemptor).slots
             limit = _get_limit(worker.name, spec, count, taken)
             if slots and limit > 0:
                 curves.append(slots[:limit])
@@ -258,20 +262,22 @@
                 heappop(heap)
         return costs
 
-    def _get_curve(self, worker: FleetWorker, spec: StepSpec, claim: Claim) -> _Curve:
-        curves = self._curves[spec.need, claim]
+    def _get_curve(
+        self, worker: FleetWorker, spec: StepSpec, preemptor: Preemptor
+    ) -> _CostCurve:
+        curves = self._curves[spec.need, preemptor]
         curve = curves.get(worker.name)
         if curve is None or curve.free is not worker.free:
-            victims = self._list_victims(worker.name, claim)
+            victims = self._list_victims(worker.name, preemptor)
             slots = list_slots(worker.free, spec.need, victims)
-            curve = curves[worker.name] = _Curve(worker.free, slots)
+            curve = curves[worker.name] = _CostCurve(worker.free, slots)
         return curve
 
-    # The choice in one group.
+    # Choosing victims in one group.
 
-    def _choose(self, group, spec, count, taken, claim) -> Room | None:
+    def _choose(self, group, spec, count, taken, preemptor) -> Room | None:
         choice = _Choice({worker.name: worker for worker in group})
-        curves = {w.name: self._get_curve(w, spec, claim).slots for w in group}
+        curves = {w.name: self._get_curve(w, spec, preemptor).slots for w in group}
         heap = _Heap()
         for name, slots in curves.items():
             heap.push(name, slots, 0)
@@ -285,37 +291,40 @@
                 continue
             choice.taken[name] += 1
             places.append(name)
-            renewed = self._take_slot(choice, curves[name][number])
-            for other in sorted(renewed):
-                curves[other] = self._refresh(choice, other, spec.need, claim)
+            changed = self._take_slot(choice, curves[name][number])
+            for other in sorted(changed):
+                curves[other] = self._refresh(choice, other, spec.need, preemptor)
                 heap.replace(other, curves[other])
-            if name not in renewed:
+            if name not in changed:
                 heap.push(name, curves[name], number + 1)
-        return Room(places, _drop_idle_victims(choice, spec.need))
+        return Room(places, _drop_needless_victims(choice, spec.need))
 
     def _take_slot(self, choice: _Choice, slot: Slot) -> set[str]:
-        """Choose the victims of a slot; return the workers of those on several."""
-        wide: set[str] = set()
+        """Choose the victims of a slot.
+
+        Returns the workers of victims that run on several, whose slots have changed.
+        """
+        affected: set[str] = set()
         for victim in slot.victims:
             choice.chosen.append(victim)
             choice.gain(victim, +1)
             if len(victim.workers) > 1:
-                wide |= victim.workers & choice.workers.keys()
-        return wide
+                affected |= victim.workers & choice.workers.keys()
+        return affected
 
     def _refresh(
-        self, choice: _Choice, name: str, need: Resources, claim: Claim
+        self, choice: _Choice, name: str, need: Resources, preemptor: Preemptor
     ) -> tuple[Slot, ...]:
-        """Work a worker out anew after a gang that runs there too was chosen."""
-        victims = self._list_victims(name, claim)
+        """Return a worker's new slots after a gang that also runs there was chosen."""
+        victims = self._list_victims(name, preemptor)
         victims = [one for one in victims if one.victim not in choice.chosen]
         free = choice.get_free(name) - need.scale(choice.taken[name])
         return list_slots(free, need, victims)
 
 
-def make_claim(active: ActiveJob) -> Claim:
-    """Return what a job may claim."""
-    return Claim(active.priority, active.firm)
+def make_preemptor(active: ActiveJob) -> Preemptor:
+    """Return the preemptor for a job that needs room."""
+    return Preemptor(active.priority, active.firm)
 
 
 def _get_limit(name: str, spec: StepSpec, count: int, taken: dict[str, int]) -> int:
@@ -324,8 +333,8 @@
     return min(count, spec.spread_limit - taken.get(name, 0))
 
 
-def _drop_idle_victims(choice: _Choice, need: Resources) -> list[Victim]:
-    """Keep of the chosen victims those that a place does not do without."""
+def _drop_needless_victims(choice: _Choice, need: Resources) -> list[Victim]:
+    """Return the chosen victims without those whose stop no task needs."""
     kept = list(choice.chosen)
     for victim in sorted(choice.chosen, key=lambda one: -one.cost):
         choice.gain(victim, -1)
--- a/src/larkhoist/fleet/ranking.py
+++ b/src/larkhoist/fleet/ranking.py
@@ -1,4 +1,4 @@
-"""Rank the phases that could start by what waiting costs their jobs."""
+"""Rank the phases that could start by urgency and deadline."""
 
 from enum import IntEnum
 
@@ -9,15 +9,15 @@
 from larkhoist.fleet.task import ActiveJob, Phase
 from larkhoist.jobs.records import PhaseId
 
-__all__ = ["Rank", "Tier", "get_chain_s", "get_deadline_s", "rank_phase"]
+__all__ = ["Rank", "Tier", "get_critical_path_s", "get_deadline_s", "rank_phase"]
 
 
 class Tier(IntEnum):
-    """Name the tiers; a lower one is served first.
+    """The tiers of waiting phases; a lower one is served first.
 
-    ``FIRM`` is covered by a guarantee, ``URGENT`` is of the most urgent priority
-    and can still be in time, ``TIMELY`` can be in time, ``LATE`` still earns
-    something, ``HOPELESS`` nothing.
+    ``FIRM`` is covered by a guarantee. ``URGENT`` has the most urgent priority and can
+    still meet its deadline. ``TIMELY`` can meet its deadline. ``LATE`` can't, but still
+    earns something; ``HOPELESS`` earns nothing.
     """
 
     FIRM = 0
@@ -28,13 +28,14 @@
 
 
 class Rank(msgspec.Struct, frozen=True, order=True):
-    """Hold the place of a phase among those that wait; the lowest is served first.
+    """The rank of a waiting phase; the lowest is served first.
 
     ``order`` compares phases of one tier: ``URGENT`` and ``TIMELY`` ones by the latest
-    useful start, ``LATE`` ones by priority, others by when they fell due.
+    start that meets the deadline, ``LATE`` ones by priority, others by when they were
+    due.
 
-    A struct, since a pass compares thousands: a decision takes 7.5 ms where it takes
-    13.5 ms with a data class (176 workers, 400 waiting steps, ``make measure``).
+    A struct, since a pass compares thousands of ranks: a decision with 176 workers and
+    400 waiting steps takes 7.5 ms, against 13.5 ms with a data class.
     """
 
     tier: Tier
@@ -42,18 +43,18 @@
     phase: PhaseId
 
 
-def get_chain_s(job: ActiveJob, run: int, runtimes: QueueRuntimes) -> float:
-    """Return the expected time of the longest chain of a run's steps."""
-    return _get_chain_s(job, run, runtimes, lambda phase: False)
+def get_critical_path_s(job: ActiveJob, run: int, runtimes: QueueRuntimes) -> float:
+    """Return the expected time of the critical path through a run's steps."""
+    return _get_critical_path_s(job, run, runtimes, lambda phase: False)
 
 
 def get_deadline_s(
     job: ActiveJob, phase: Phase, runtimes: QueueRuntimes
 ) -> tuple[float, float]:
-    """Return when the run must end to be in time, and its latency objective."""
+    """Return the deadline of the phase's run, and its latency objective."""
     terms = job.job.terms
-    chain_s = get_chain_s(job, phase.id.run, runtimes)
-    objective_s = terms.stretch * chain_s + terms.target_ms / 1000
+    critical_path_s = get_critical_path_s(job, phase.id.run, runtimes)
+    objective_s = terms.stretch * critical_path_s + terms.target_ms / 1000
     return phase.due_s + objective_s, objective_s
 
 
@@ -64,10 +65,10 @@
     policy: FleetPolicy,
     now_s: float,
 ) -> Rank:
-    """Return the place of a phase that waits."""
+    """Return the rank of a waiting phase."""
     deadline_s, objective_s = get_deadline_s(job, phase, runtimes)
-    left_s = _get_chain_s(job, phase.id.run, runtimes, lambda p: p.is_done)
-    latest_s = deadline_s - left_s
+    remaining_s = _get_critical_path_s(job, phase.id.run, runtimes, lambda p: p.is_done)
+    latest_s = deadline_s - remaining_s
     if job.firm:
         return Rank(Tier.FIRM, phase.due_s, phase.id)
     if now_s <= latest_s:
@@ -78,7 +79,7 @@
     return Rank(Tier.HOPELESS, phase.due_s, phase.id)
 
 
-def _get_chain_s(job, run, runtimes, is_over) -> float:
+def _get_critical_path_s(job, run, runtimes, is_over) -> float:
     ends: list[float] = []
     for phase in job.get_phases(run):
         begin_s = max((ends[step] for step in phase.spec.depends_on), default=0.0)
--- a/src/larkhoist/fleet/reservations.py
+++ b/src/larkhoist/fleet/reservations.py
@@ -1,9 +1,9 @@
-"""Keep whole workers for gangs that would otherwise never find room together.
+"""Reserve whole workers for gangs that would otherwise never find room together.
 
-Answers a load of many small tasks beside wide gangs: each gap goes to a small task at
-once, so that the room of a gang never comes free in one rack at one time. A gang that
-waits gets workers of its own, those that are expected to come free first; they stay
-its own until it starts, ends or can't be in time any more.
+Under a load of many small tasks, each gap is filled by a small task at once, so that a
+rack never has room for a whole gang. A waiting gang therefore gets the workers that are
+expected to be free first. They stay reserved until the gang starts, ends or can no
+longer earn anything (``Tier.HOPELESS``).
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Hold the names of workers kept for a phase, and when they should be free."""
+    """The names of workers reserved for a phase, and when they should be free."""
 
     phase: PhaseId
     workers: frozenset[str]
@@ -32,77 +32,78 @@
 
 
 class Reservations:
-    """Hold what is reserved from pass to pass."""
+    """All reservations; they last from pass to pass."""
 
     def __init__(self):
-        self._held: dict[PhaseId, Reservation] = {}
-        self._holders: dict[str, PhaseId] = {}
+        self._by_phase: dict[PhaseId, Reservation] = {}
+        self._phase_by_worker: dict[str, PhaseId] = {}
 
     def __len__(self) -> int:
-        return len(self._holders)
+        return len(self._phase_by_worker)
 
     def get(self, phase: PhaseId) -> Reservation | None:
-        """Return the reservation of a phase."""
-        return self._held.get(phase)
+        """Return the reservation of a phase, None if it has none."""
+        return self._by_phase.get(phase)
 
     def is_open_to(self, worker: str, phase: PhaseId) -> bool:
         """Tell whether a worker is not reserved for another phase."""
-        return self._holders.get(worker, phase) == phase
+        return self._phase_by_worker.get(worker, phase) == phase
 
     def keep_only(self, waiting: set[PhaseId], usable: set[str]) -> None:
-        """Drop what is reserved for phases that do not wait or lost a worker."""
-        for phase, kept in list(self._held.items()):
-            if phase not in waiting or not kept.workers <= usable:
+        """Drop reservations of phases not waiting, or with a worker not usable."""
+        for phase, reservation in list(self._by_phase.items()):
+            if phase not in waiting or not reservation.workers <= usable:
                 self.drop(phase)
 
     def drop_too_small(self, state: "FleetState") -> None:
-        """Drop what a phase does not fit into beside tasks that last."""
-        for phase_id, kept in list(self._held.items()):
+        """Drop reservations too small for their phase beside long-running tasks."""
+        for phase_id, reservation in list(self._by_phase.items()):
             phases = state.jobs[phase_id.job_id].phases
             phase = phases[(phase_id.run, phase_id.step)]
-            workers = [state.workers[name] for name in kept.workers]
+            workers = [state.workers[name] for name in reservation.workers]
             if count_drained_room(state, workers, phase) < len(phase.tasks):
                 self.drop(phase_id)
 
     def drop(self, phase: PhaseId) -> None:
-        """Give back what is reserved for a phase."""
-        kept = self._held.pop(phase, None)
-        if kept is not None:
-            for name in kept.workers:
-                del self._holders[name]
+        """Drop the reservation of a phase, if it has one."""
+        reservation = self._by_phase.pop(phase, None)
+        if reservation is not None:
+            for name in reservation.workers:
+                del self._phase_by_worker[name]
 
     def reserve(
         self,
         state: "FleetState",
         phase: Phase,
         groups: Iterable[WorkerGroup],
-        most: int,
+        max_reserved: int,
         now_s: float,
     ) -> Reservation | None:
         """Reserve the workers of one group that are expected to be free first.
 
-        ``most`` bounds how many workers may be reserved in all.
+        Returns None if no group has enough workers, or if more than ``max_reserved``
+        workers would be reserved in total.
         """
         count = len(phase.tasks)
         best: Reservation | None = None
         for group in groups:
             found = self._pick(state, phase, group, count, now_s)
-            if found is None or len(found.workers) + len(self) > most:
+            if found is None or len(found.workers) + len(self) > max_reserved:
                 continue
             if best is None or found.free_s < best.free_s:
                 best = found
         if best is None:
             return None
-        self._held[phase.id] = best
+        self._by_phase[phase.id] = best
         for name in best.workers:
-            self._holders[name] = phase.id
+            self._phase_by_worker[name] = phase.id
         return best
 
     def _pick(self, state, phase: Phase, group: WorkerGroup, count: int, now_s):
         drains = [
             (get_drain_s(state, worker, phase, now_s), worker.name, worker)
             for worker in group.workers
-            if worker.name not in self._holders
+            if worker.name not in self._phase_by_worker
         ]
         drains.sort(key=lambda one: one[:2])
         names = set()
@@ -121,39 +122,43 @@
 def get_drain_s(
     state: "FleetState", worker: FleetWorker, phase: Phase, now_s: float
 ) -> float:
-    """Return how long a worker takes until only tasks that last run there."""
+    """Return in how many seconds only long-running tasks will be left on a worker."""
     return max(
         (
-            _get_left_s(state, other, task, now_s)
+            _get_remaining_s(state, other, task, now_s)
             for other, task in state.list_tasks_on(worker)
-            if not _lasts(other, task)
+            if not _is_long_running(other, task)
         ),
         default=0.0,
     )
 
 
 def get_drained_room(state: "FleetState", worker: FleetWorker) -> Resources:
-    """Return the room of a worker on which only tasks that last run."""
-    lasting = (
-        other.need for other, task in state.list_tasks_on(worker) if _lasts(other, task)
+    """Return the free room of a worker once only long-running tasks run there."""
+    long_running_needs = (
+        other.need
+        for other, task in state.list_tasks_on(worker)
+        if _is_long_running(other, task)
     )
-    return worker.capacity - sum(lasting, Resources())
+    return worker.capacity - sum(long_running_needs, Resources())
 
 
 def count_drained_room(
     state: "FleetState", workers: Iterable[FleetWorker], phase: Phase
 ) -> int:
-    """Return how many tasks of ``phase`` fit beside tasks that last."""
+    """Return how many tasks of ``phase`` fit beside long-running tasks."""
     need, limit = phase.need, phase.spec.spread_limit
     rooms = (get_drained_room(state, worker) for worker in workers)
     return sum(count_fitting(room, need, limit, 0) for room in rooms)
 
 
-def _lasts(phase: Phase, task: Task) -> bool:
+def _is_long_running(phase: Phase, task: Task) -> bool:
     return phase.spec.long_running and task.state is not TaskState.STOPPING
 
 
-def _get_left_s(state: "FleetState", phase: Phase, task: Task, now_s: float) -> float:
+def _get_remaining_s(
+    state: "FleetState", phase: Phase, task: Task, now_s: float
+) -> float:
     stop_s = state.policy.stop_s
     if task.state is TaskState.STOPPING:
         return stop_s
--- a/src/larkhoist/fleet/room.py
+++ b/src/larkhoist/fleet/room.py
@@ -1,4 +1,4 @@
-"""Count how much room urgent work, guarantees and everything else leave."""
+"""Count used and free room, and the room that guarantees leave."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class ServiceRoom:
-    """Hold the room of the listed workers of one service, and what is used of it."""
+    """The room of the listed workers of one service, and how much of it is used."""
 
     used: Resources = Resources()
     total: Resources = Resources()
@@ -27,9 +27,9 @@
 def count_service_rooms(
     state: FleetState, *, staying: bool = False
 ) -> dict[str, ServiceRoom]:
-    """Return the room by service, that of cordoned halls included.
+    """Return the room by service, including that of cordoned halls.
 
-    If ``staying``, workers that leave and those of cordoned halls do not count.
+    With ``staying``, leaving workers and those of cordoned halls are not counted.
     """
     rooms: dict[str, ServiceRoom] = {}
     for worker in state.workers.values():
@@ -53,7 +53,7 @@
 
 
 def get_used_share(state: FleetState) -> float:
-    """Return the used share of what workers are shortest of."""
+    """Return the used share (0 to 1) of the resource that is scarcest."""
     workers = [w for w in state.workers.values() if state.is_in_service(w)]
     used = sum((worker.used for worker in workers), Resources())
     total = sum((worker.capacity for worker in workers), Resources())
@@ -72,7 +72,11 @@
 def count_room_without_checkpoints(
     state: FleetState, guarantees: Mapping[str, int]
 ) -> int:
-    """Return how many accelerators work may take that can't be stopped cheaply."""
+    """Return how many more accelerators tasks without checkpoints may take.
+
+    Such tasks are costly to stop, so they must leave the guarantees free. Negative if
+    they already use more.
+    """
     total = sum(
         worker.capacity.accelerators
         for worker in state.workers.values()
@@ -87,7 +91,7 @@
 
 
 def _count_in_service(state: FleetState, phase: Phase) -> int:
-    """Return how many tasks may run, but for those in cordoned halls."""
+    """Return how many tasks are on workers outside cordoned halls."""
     running = [task for task in phase.tasks if task.is_on_worker]
     if not state.cordoned_halls:
         return len(running)
--- a/src/larkhoist/fleet/room_maker.py
+++ b/src/larkhoist/fleet/room_maker.py
@@ -1,16 +1,16 @@
-"""Make room for urgent phases by stopping others, and keep it until it is free."""
+"""Make room for urgent phases by stopping others, and hold it until they start."""
 
 from larkhoist.fleet.placing import WorkerGroups
-from larkhoist.fleet.preemption import VictimIndex, make_claim
+from larkhoist.fleet.preemption import VictimIndex, make_preemptor
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import ActiveJob, Phase
 from larkhoist.fleet.victim import Victim
 
 __all__ = ["RoomMaker"]
 
-FIRM_PATIENCE_S = 1.5
-"""After this time guaranteed work may stop that of others that has begun. The users
-have it begin within 2.7 s or more, of which a stop takes up to 0.9 s."""
+GUARANTEED_PREEMPT_AFTER_S = 1.5
+"""After this wait, guaranteed work may stop started guaranteed work of other customers.
+It must start within 2.7 s, and a stop takes up to 0.9 s."""
 
 
 class RoomMaker:
@@ -28,31 +28,32 @@
         groups: WorkerGroups,
         latest_s: float,
     ) -> bool:
-        """Stop what is worth it and keep the room; return whether there is any.
+        """Stop the cheapest victims if that is worth it, and hold their room.
 
-        ``latest_s`` is the latest start at which the phase is still in time.
+        ``latest_s`` is the latest start at which the phase is still in time. Returns
+        whether room is held.
         """
         count = len(phase.get_waiting())
         taken = phase.count_taken()
-        claim = make_claim(active)
+        preemptor = make_preemptor(active)
         wanted = groups.list_groups(phase.spec, len(phase.tasks))
         victims = self._get_victims()
-        room = victims.find_room(wanted, phase.spec, count, taken, claim)
+        room = victims.find_room(wanted, phase.spec, count, taken, preemptor)
         if room is None and active.firm:
             wanted = [groups.whole]
-            room = victims.find_room(wanted, phase.spec, count, taken, claim)
-        if room is None and self._is_due(active, phase):
+            room = victims.find_room(wanted, phase.spec, count, taken, preemptor)
+        if room is None and self._may_stop_guaranteed(active, phase):
             victims = VictimIndex(self._state, self._now_s, active)
-            room = victims.find_room(wanted, phase.spec, count, taken, claim)
+            room = victims.find_room(wanted, phase.spec, count, taken, preemptor)
         if room is None:
             return False
-        if not active.firm and not self._is_worth(phase, room.cost, latest_s):
+        if not active.firm and not self._is_worthwhile(phase, room.cost, latest_s):
             return False
         for victim in room.victims:
             victims.drop(victim)
             self._stop_victim(phase, victim)
         if victims is not self._victims:
-            # It still holds what has just been stopped by another index.
+            # The cached index still has the victims just stopped.
             self._victims = None
         waiting = [task.index for task in phase.get_waiting()]
         self._state.keep_plan(phase, dict(zip(waiting, room.places, strict=True)))
@@ -64,9 +65,10 @@
         return self._victims
 
     def start_planned(self, phase: Phase) -> bool:
-        """Start a phase for which room is kept, once the room is free.
+        """Start a phase for which room is held, once the room is free.
 
-        Returns whether the plan is over: the phase has started, or room was lost.
+        Returns whether the plan has ended: the phase has started, or the plan was
+        dropped because it can no longer be carried out.
         """
         state = self._state
         workers = [state.workers.get(name) for name in phase.plan.values()]
@@ -77,7 +79,7 @@
         for worker in workers:
             wanted = sum(other is worker for other in workers)
             if worker.capacity.count_fitting(phase.need) < wanted:
-                # The room has shrunk: the stops would be waited for in vain.
+                # The worker has shrunk: the phase will not fit even after the stops.
                 state.drop_plan(phase)
                 return True
             room = worker.capacity - worker.used
@@ -88,16 +90,17 @@
         state.assign(phase, places, self._now_s)
         return True
 
-    def _is_due(self, active: ActiveJob, phase: Phase) -> bool:
-        """Tell whether guaranteed work would begin late unless that of others stops.
+    def _may_stop_guaranteed(self, active: ActiveJob, phase: Phase) -> bool:
+        """Tell whether a job may stop guaranteed work of other customers.
 
-        What has begun once has no such claim: two never stop each other in turn.
+        It may if it would otherwise start late. A job that has started before may not,
+        so that two jobs never stop each other in turn.
         """
         if not active.firm or active.has_begun_whole:
             return False
-        return self._now_s >= phase.unserved_since_s + FIRM_PATIENCE_S
+        return self._now_s >= phase.unserved_since_s + GUARANTEED_PREEMPT_AFTER_S
 
-    def _is_worth(self, phase: Phase, cost: float, latest_s: float) -> bool:
+    def _is_worthwhile(self, phase: Phase, cost: float, latest_s: float) -> bool:
         policy = self._state.policy
         timely = self._now_s + policy.stop_s <= latest_s
         ratio = policy.timely_work_ratio if timely else policy.late_work_ratio
--- a/src/larkhoist/fleet/shapes.py
+++ b/src/larkhoist/fleet/shapes.py
@@ -1,4 +1,4 @@
-"""Tell which phases look for the same room, so that a pass looks for it once."""
+"""Identify equivalent searches for room, so that a pass repeats none that failed."""
 
 from enum import Enum
 
@@ -10,17 +10,20 @@
 from larkhoist.jobs.records import PhaseId
 from larkhoist.ports.fleet import Resources
 
-__all__ = ["Among", "Shape", "make_shape"]
+__all__ = ["SearchScope", "Shape", "make_shape"]
 
 
-class Among(Enum):
-    """Name the workers among which a phase looks for room.
+class SearchScope(Enum):
+    """The workers among which a phase searches for room.
 
-    ``PREFERRED`` ones are usable and it has not failed there, ``APART`` ones run
-    nothing that may crash them either, ``USABLE`` ones are all usable ones,
-    ``QUARANTINED`` the same with those in quarantine that may be tried, ``ANY_RACK``
-    all usable ones, whatever rack it asks for, ``RESERVED`` the same with those
-    reserved for others.
+    - ``PREFERRED``: usable workers on which the phase has not failed
+    - ``APART``: the same, without those that run tasks that may crash them
+    - ``USABLE``: all usable workers
+    - ``QUARANTINED``: the same, and those in quarantine that may be tried
+    - ``ANY_RACK``: all usable workers, whatever rack the phase asks for
+    - ``RESERVED``: the same, and those reserved for other phases
+
+    Urgent phases, and those that may use any rack, get reserved workers in all scopes.
     """
 
     PREFERRED = 0
@@ -32,11 +35,12 @@
 
 
 class Shape(msgspec.Struct, frozen=True):
-    """Hold what decides whether room is found; a part of a gang finds none.
+    """Everything that decides whether a search for room succeeds.
 
-    ``spread`` names a phase with a limit of its own on tasks of one worker,
-    ``reserved_for`` one that has workers of its own. ``one_rack`` is how many tasks a
-    rack must be able to hold, 0 for a phase that may use several racks.
+    ``spread`` is set for a phase that limits its tasks per worker, ``reserved_for`` for
+    one that has reserved workers. ``one_rack`` is how many tasks a rack must be able to
+    hold, 0 for a phase that may use several racks. ``together`` is how many tasks must
+    find room at once: all of a gang, else 1.
     """
 
     service: str
@@ -50,7 +54,7 @@
     keeps_reservations: bool
     reserved_for: PhaseId | None
     failed_on: frozenset[str]
-    among: Among
+    among: SearchScope
 
 
 def make_shape(
@@ -60,9 +64,9 @@
     leeway: Leeway,
     count: int,
     reserved_for: PhaseId | None,
-    among: Among,
+    scope: SearchScope,
 ) -> Shape:
-    """Return the shape of a phase of which ``count`` tasks look for room."""
+    """Return the shape of a search for room for ``count`` tasks of a phase."""
     spec = phase.spec
     return Shape(
         active.job.terms.service,
@@ -76,5 +80,5 @@
         tier > Tier.URGENT,
         reserved_for,
         frozenset(name for task in phase.tasks for name in task.failed_on),
-        among,
+        scope,
     )
--- a/src/larkhoist/fleet/speeds.py
+++ b/src/larkhoist/fleet/speeds.py
@@ -1,7 +1,7 @@
-"""Learn how fast workers are from how long tasks of one step took on each.
+"""Estimate the speed of workers from the times of tasks of the same step.
 
-Answers workers of unequal speed: a gang runs at the pace of its slowest member, so
-that one slow worker in three makes nearly every gang of five slow.
+A gang runs at the speed of its slowest member, so if one worker in three is slow,
+nearly every gang of five is slow.
 """
 
 import math
@@ -9,47 +9,49 @@
 
 __all__ = ["WorkerSpeeds"]
 
-LEAST_WEIGHT = 0.15
-"""A worker that turns slow for some seconds is known after some three tasks."""
+MIN_WEIGHT = 0.15
+"""Least weight of a new sample in the mean. High enough that a worker that becomes slow
+for some seconds is detected after about three tasks."""
 PRIOR_SAMPLES = 1.5
-"""How many samples a worker needs to be believed half: equal tasks of one step differ
-by some 15 %, the workers by 30 %."""
-LARGEST_SAMPLE = math.log(4)
-"""A task that stood still for a while says little of the worker's pace."""
+"""After this many samples, a worker's mean counts for half of its estimate, the default
+for the other half. Equal tasks differ by about 15 %, workers by 30 %."""
+MAX_SAMPLE = math.log(4)
+"""Limit of a sample in either direction, as a logarithm: a task that was stalled for a
+while says little about the worker's speed."""
 
 
 @dataclass(slots=True)
 class _Mean:
-    """Hold a moving mean of the logarithm of a ratio of times."""
+    """A moving mean of the logarithm of a ratio of times."""
 
     value: float = 0.0
     count: int = 0
 
 
 class WorkerSpeeds:
-    """Keep by which factor tasks take longer on a worker than elsewhere."""
+    """The factor by which tasks take longer on each worker than on others."""
 
     def __init__(self):
         self._workers: dict[str, _Mean] = {}
 
     def note(self, worker: str, took_s: float, expected_s: float) -> None:
-        """Take the time of a task against what its peers took elsewhere."""
+        """Record the time of a task and the time expected from its peers elsewhere."""
         if took_s <= 0 or expected_s <= 0:
             return
         sample = math.log(took_s / expected_s)
-        sample = max(-LARGEST_SAMPLE, min(LARGEST_SAMPLE, sample))
+        sample = max(-MAX_SAMPLE, min(MAX_SAMPLE, sample))
         mean = self._workers.setdefault(worker, _Mean())
         mean.count += 1
-        weight = max(LEAST_WEIGHT, 1 / mean.count)
+        weight = max(MIN_WEIGHT, 1 / mean.count)
         mean.value += weight * (sample - mean.value)
 
     def get_factor(self, worker: str) -> float:
-        """Return the factor of a worker, 1 where nothing is known."""
+        """Return the factor of a worker, 1 if it is unknown."""
         mean = self._workers.get(worker)
         if mean is None:
             return 1.0
         return math.exp(mean.value * mean.count / (mean.count + PRIOR_SAMPLES))
 
     def forget(self, worker: str) -> None:
-        """Drop what is known of a worker that is gone."""
+        """Drop the samples of a worker that no longer exists."""
         self._workers.pop(worker, None)
--- a/src/larkhoist/fleet/victim.py
+++ b/src/larkhoist/fleet/victim.py
@@ -1,4 +1,4 @@
-"""Hold what may be stopped so that something more pressing finds room."""
+"""Find the tasks that may be stopped to make room for more urgent ones."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,9 +11,10 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Victim:
-    """Hold tasks that are stopped together; ``cost`` is in core-seconds.
+    """Tasks that are stopped together.
 
-    ``priority`` is that of their job.
+    ``cost`` is the work that a stop loses, in core-seconds; ``priority`` is that of
+    their job.
     """
 
     phase: Phase
@@ -28,17 +29,18 @@
 
 
 def iter_victims(
-    state: FleetState, now_s: float, firm_for: ActiveJob | None = None
+    state: FleetState, now_s: float, preempting_job: ActiveJob | None = None
 ) -> Iterator[Victim]:
-    """Yield what may be stopped at all: single tasks, or gangs as a whole.
+    """Yield all possible victims: single tasks, or gangs as a whole.
 
-    Guaranteed work is among it for the job ``firm_for`` alone, where it is another
-    customer's and has begun as it was promised to. It yields to one job only.
+    A guaranteed job is included only if ``preempting_job`` is given and belongs to
+    another customer, and once all tasks of its first steps have started. It may be
+    stopped for only one other job.
     """
     for active, phase in state.iter_phases():
         if active.ended or phase.spec.long_running:
             continue
-        if active.firm and not _may_yield(active, firm_for):
+        if active.firm and not _may_yield(active, preempting_job):
             continue
         running = [
             task
@@ -54,7 +56,7 @@
 
 
 def _may_yield(active: ActiveJob, claimant: ActiveJob | None) -> bool:
-    """Tell whether guaranteed work may be stopped for that of another customer."""
+    """Tell whether a guaranteed job may be stopped for one of another customer."""
     if claimant is None or active.job.customer == claimant.job.customer:
         return False
     if active.yielded_to not in ("", claimant.job.job_id):
@@ -63,7 +65,7 @@
 
 
 def _get_lateness_cost(state: FleetState, active: ActiveJob, phase: Phase) -> float:
-    """Return what an urgent job loses that becomes late by a stop, in core-seconds."""
+    """Return the cost of making an urgent job late by a stop, in core-seconds."""
     if active.priority != 0:
         return 0.0
     return state.policy.timely_work_ratio * phase.work_core_s
