--- a/src/larkhoist/fleet/eligibility.py
+++ b/src/larkhoist/fleet/eligibility.py
@@ -93,7 +93,7 @@
             return groups
         others = [worker for worker in workers if worker.name not in failed]
         # Tasks avoid workers on which they failed only if the others could hold the
-        # phase. If those stay full, the phase gets all of them once it is overdue;
+        # phase. If the others stay full, an overdue phase may use all usable workers;
         # without that, tasks waited for 9 s while workers were empty.
         if count_capacity(others, phase.spec) < len(phase.tasks):
             return groups
--- a/src/larkhoist/fleet/leeway.py
+++ b/src/larkhoist/fleet/leeway.py
@@ -21,8 +21,8 @@
 ]
 
 SPARE_ROOM_FACTOR = 2
-"""A phase may ignore preferences only if there is room for this many times the tasks
-that start together; the limits on waiting apply only then."""
+"""Most preferences end only if there is room for this many times the tasks that start
+together. The limits on how long a phase may wait apply only then."""
 PROBE_AFTER_S = 2.0
 """Time without failures after which a worker in quarantine may be tried by an overdue
 phase that finds no other room."""
--- a/src/larkhoist/fleet/room_maker.py
+++ b/src/larkhoist/fleet/room_maker.py
@@ -10,7 +10,7 @@
 
 GUARANTEED_PREEMPT_AFTER_S = 1.5
 """After this wait, guaranteed work may stop started guaranteed work of other customers.
-It must start within 2.7 s, and a stop takes up to 0.9 s."""
+The shortest time within which it must start is 2.7 s, and a stop takes up to 0.9 s."""
 
 
 class RoomMaker:
