--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -1,4 +1,7 @@
-"""Run the scheduler of staged jobs while this instance holds the tenure."""
+"""Run the scheduler of staged jobs while this instance holds the tenure.
+
+The tenure is the leadership among the instances, held for a term.
+"""
 
 import asyncio
 import logging
@@ -56,19 +59,19 @@
 
 _logger = logging.getLogger(__name__)
 OWNER_WRITER = "owner"
-LOOK_S = 0.25
-"""How often leases and stops are looked at while nothing happens."""
-REST_RATIO = 1.5
-"""How long the owner rests after a step, in times of what the step took."""
-STUCK_S = 1.0
-"""How long records may wait for the log before no new decision is made."""
+MAX_PAUSE_S = 0.25
+"""Longest pause between two steps, so that leases and stops are checked regularly."""
+PAUSE_RATIO = 1.5
+"""Pause after a step, as a multiple of the duration of the step."""
+MAX_APPEND_DELAY_S = 1.0
+"""No new decisions are made while records have waited longer for the log."""
 TAKEOVER_TIMEOUT_S = 2.0
 RETRY_TAKEOVER_S = 0.2
-FAILURE_FRAMES = 4
-"""How many of the innermost calls a line on a failure names."""
+TRACEBACK_FRAMES = 4
+"""Number of innermost stack frames in the log line of a failure."""
 TIDY_S = 10.0
-"""How often outcomes that nobody may ask for any more are looked for; they are few
-enough between two looks (some 50 a second) to go in one append."""
+"""How often expired jobs are removed. About 50 jobs expire per second, so that the
+records of one interval fit into one append."""
 
 OWNER_GAUGES = (
     "fleet_running",
@@ -80,15 +83,16 @@
     "fleet_held_up_s",
     *(f"fleet_over_{name}" for name in PROOF_NAMES),
 )
-"""The gauges that only an owner has a figure for."""
+"""Gauges that only the owner can compute."""
 
 CreatePort = Callable[[str, str], TaskWorkerPort]
 
 
 class FleetOwner:
-    """Own the scheduler, its sessions with workers and its writer for one term.
+    """The scheduler, its worker sessions and its log writers, for one term.
 
-    A take-over that fails for ``take_over_s`` while ``tenure`` is renewed ends it.
+    The tenure is released if the take-over keeps failing for ``take_over_s`` seconds
+    although the log accepts renewals. Ended jobs expire after ``keep_s`` seconds.
     """
 
     def __init__(
@@ -111,7 +115,7 @@
         self.term = term
         self._log = log
         self._keep_s = keep_s
-        self._tidied_s = float("-inf")
+        self._last_expiry_s = float("-inf")
         self._book = book
         self._book_follower = book_follower
         self._roster = roster
@@ -130,21 +134,21 @@
         self.scheduler: FleetScheduler | None = None
         self._sessions: dict[str, WorkerSession] = {}
         self._limits = CallLimits()
-        self._inbox: list[Message] = []
+        self._messages: list[Message] = []
         self._wake = asyncio.Event()
         self._task: asyncio.Task | None = None
-        self._rounds: set[asyncio.Task] = set()
+        self._background_tasks: set[asyncio.Task] = set()
         self._roster_version = -1
         self._catalog_version = -1
-        self._held_up = False
+        self._decisions_paused = False
 
     async def start(self) -> None:
-        """Begin to take over."""
+        """Start taking over."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop deciding; what runs goes on until its lease ends."""
-        await cancel_tasks([self._task, *self._rounds])
+        """Stop scheduling; running tasks continue until their leases end."""
+        await cancel_tasks([self._task, *self._background_tasks])
         for session in self._sessions.values():
             await session.close()
         await self._writer.close()
@@ -152,8 +156,8 @@
         await self._roster_follower.close()
         log_event(_logger, "owner-stopped", term=self.term)
 
-    def take_record(self, record: JobRecord) -> None:
-        """Take a record that the book has just folded."""
+    def apply_record(self, record: JobRecord) -> None:
+        """Pass a record that the book has just applied on to the scheduler."""
         if self.scheduler is None:
             return
         now_s, now_ms = _get_times()
@@ -169,7 +173,7 @@
         self._wake.set()
 
     def take_book(self) -> None:
-        """Take jobs and cancellations over that no single record told of."""
+        """Pass all open jobs and cancellations on after the book was replaced."""
         if self.scheduler is None:
             return
         now_s, now_ms = _get_times()
@@ -183,15 +187,15 @@
 
     @property
     def has_taken_over(self) -> bool:
-        """Tell whether the owner decides, rather than read what others left."""
+        """Tell whether the take-over is complete and the scheduler is running."""
         return self.scheduler is not None
 
     def wake(self) -> None:
-        """Have the configuration read and decide again."""
+        """Run a step soon, which applies the current configuration."""
         self._wake.set()
 
     def knows_leaving(self, worker: str) -> bool:
-        """Tell whether a worker is known to leave."""
+        """Tell whether a worker has announced that it is leaving."""
         if self.scheduler is None:
             return False
         found = self.scheduler.state.workers.get(worker)
@@ -211,7 +215,7 @@
             "fleet_silent_workers": float(self._count_silent_workers()),
             "fleet_held_up_s": self._get_append_delay_s(_get_times()[0]),
             **self._measure_unserved(),
-            **self._measure_over(),
+            **self._count_ended_attempts(),
         }
 
     def _count_silent_workers(self) -> int:
@@ -219,25 +223,25 @@
         return sum(worker.listed and worker.silent for worker in workers)
 
     def _measure_unserved(self) -> dict[str, float]:
-        """Return how many steps no task of which starts for long, and the longest."""
+        """Return the gauges of job steps whose tasks have waited long for a start."""
         now_s, _ = _get_times()
         unserved_s = self.scheduler.list_unserved_s(now_s)
-        standing = sum(one_s >= STANDS_S for one_s in unserved_s)
+        long_unserved = sum(wait_s >= STANDS_S for wait_s in unserved_s)
         return {
-            "fleet_unserved_steps": float(standing),
+            "fleet_unserved_steps": float(long_unserved),
             "fleet_longest_unserved_s": max(unserved_s, default=0.0),
         }
 
-    def _measure_over(self) -> dict[str, float]:
+    def _count_ended_attempts(self) -> dict[str, float]:
         counts = self.scheduler.state.over_by_proof
         return {f"fleet_over_{name}": float(counts[name]) for name in PROOF_NAMES}
 
     # Taking over.
 
     async def _run(self) -> None:
-        """Own until another does; an owner that fails must not go on holding."""
+        """Run the term; on an error, give the tenure up so that others can claim it."""
         try:
-            await self._own()
+            await self._run_term()
         except Exception as error:
             log_event(
                 _logger,
@@ -245,17 +249,17 @@
                 logging.ERROR,
                 term=self.term,
                 reason=repr(error),
-                trace=traceback.format_exc(limit=-FAILURE_FRAMES),
+                trace=traceback.format_exc(limit=-TRACEBACK_FRAMES),
             )
-            self._tenure.give_up("its decisions failed")
+            self._tenure.give_up("the scheduler failed")
 
-    async def _own(self) -> None:
+    async def _run_term(self) -> None:
         if not await self._take_over_in_time():
-            self._tenure.hand_back("its take-over does not end")
+            self._tenure.request_release("the take-over kept failing")
             return
         await self._writer.start()
         await self._progress_writer.start()
-        # The workers are only asked in a step, and nothing else may happen for long.
+        # Sessions with workers open in a step; no other event may trigger one for long.
         self._wake.set()
         while True:
             try:
@@ -265,25 +269,26 @@
                 pass
             self._wake.clear()
             if self._writer.fenced or self._progress_writer.fenced:
-                self._tenure.give_up("a newer term wrote to the log")
+                self._tenure.give_up("a writer was fenced by a newer term")
                 return
             began_s, _ = _get_times()
             self._step()
             if self.scheduler.has_more:
                 self._wake.set()
             took_s = _get_times()[0] - began_s
-            # What comes meanwhile is taken together, so that deciding leaves most
-            # of the processor to callers and workers.
-            await asyncio.sleep(REST_RATIO * took_s)
+            # Messages that arrive during the pause are handled in one step, which
+            # leaves most of the processor to API calls and worker sessions.
+            await asyncio.sleep(PAUSE_RATIO * took_s)
 
     def _get_pause_s(self) -> float:
         now_s, _ = _get_times()
-        return max(0.0, min(LOOK_S, self.scheduler.get_next_due_s(now_s) - now_s))
+        return max(0.0, min(MAX_PAUSE_S, self.scheduler.get_next_due_s(now_s) - now_s))
 
     async def _take_over_in_time(self) -> bool:
-        """Take over; return False where only this instance's own calls fail for long.
+        """Retry the take-over; return False if it fails for ``take_over_s`` seconds.
 
-        While renewals fail as well, the log is away, and nobody could take over.
+        Time in which renewals fail as well does not count: the log is unavailable
+        then, and no other instance could take over either.
         """
         failing_since_s, _ = _get_times()
         while not await self._take_over():
@@ -324,32 +329,34 @@
         return True
 
     async def _read_state(self) -> tuple[StoredRecord, ...] | None:
-        """Shut out former owners, then read what they left; return the progress.
+        """Fence former owners, then read all streams; return the progress records.
 
-        Once both streams are fenced, nobody else writes progress, so that reading
-        its newest records gives the whole of it.
+        Once both streams are fenced, no other owner can write progress, so the newest
+        record of each key is the complete progress. Returns None on failure.
         """
         for writer in (self._writer, self._progress_writer):
             match await writer.fence():
                 case Failure(problem) if problem.code is Code.FENCED:
-                    self._tenure.give_up("a newer term is known to the log")
+                    self._tenure.give_up("the log was fenced by a newer term")
                     await asyncio.sleep(TAKEOVER_TIMEOUT_S)
                     return None
                 case Failure(problem):
-                    self._note_take_over_waits(problem)
+                    self._log_take_over_waits(problem)
                     return None
         for follower in (self._book_follower, self._roster_follower):
             if not await follower.catch_up(TAKEOVER_TIMEOUT_S):
-                self._note_take_over_waits(f"stream {follower.stream} is not read")
+                self._log_take_over_waits(
+                    f"stream {follower.stream} could not be read to its end"
+                )
                 return None
         match await self._log.read_newest(PROGRESS_STREAM):
             case Success(newest):
                 return newest.records
             case Failure(problem):
-                self._note_take_over_waits(problem)
+                self._log_take_over_waits(problem)
                 return None
 
-    def _note_take_over_waits(self, reason: Problem | str) -> None:
+    def _log_take_over_waits(self, reason: Problem | str) -> None:
         log_event(_logger, "take-over-waits", term=self.term, reason=reason)
 
     # One step.
@@ -360,51 +367,51 @@
         if self._roster_version != self._roster.version:
             self._roster_version = self._roster.version
             scheduler.take_list(self._roster.list_entries(), now_s)
-            self._match_sessions()
-        inbox, self._inbox = self._inbox, []
-        for message in inbox:
-            self._take_message(message, now_s, now_ms)
-        self._take_catalog()
+            self._sync_sessions()
+        messages, self._messages = self._messages, []
+        for message in messages:
+            self._handle_message(message, now_s, now_ms)
+        self._apply_catalog()
         scheduler.set_cordoned_halls(self._cordons.halls)
-        if self._is_held_up(now_s):
+        if self._update_decisions_paused(now_s):
             return
-        self._tidy(now_s, now_ms)
+        self._expire_jobs(now_s, now_ms)
         self._carry_out(scheduler.decide(now_s, now_ms))
         self._update_sessions()
 
-    def _is_held_up(self, now_s: float) -> bool:
-        """Tell whether records wait for the log too long to decide anything more."""
+    def _update_decisions_paused(self, now_s: float) -> bool:
+        """Return whether decisions pause because the log is slow; log each change."""
         delay_s = self._get_append_delay_s(now_s)
-        held_up = delay_s > STUCK_S
-        if held_up != self._held_up:
-            self._held_up = held_up
-            event = "owner-held-up" if held_up else "owner-goes-on"
+        paused = delay_s > MAX_APPEND_DELAY_S
+        if paused != self._decisions_paused:
+            self._decisions_paused = paused
+            event = "owner-held-up" if paused else "owner-goes-on"
             delay = round(delay_s, 3)
             log_event(_logger, event, term=self.term, append_delay_s=delay)
-        return held_up
+        return paused
 
     def _get_append_delay_s(self, now_s: float) -> float:
         writers = (self._writer, self._progress_writer)
         return max(writer.get_delay_s(now_s) for writer in writers)
 
-    def _tidy(self, now_s: float, now_ms: int) -> None:
-        """Drop what is kept of jobs that nobody may ask for any more."""
-        if now_s < self._tidied_s + TIDY_S:
+    def _expire_jobs(self, now_s: float, now_ms: int) -> None:
+        """Remove the records of jobs that ended more than ``keep_s`` seconds ago."""
+        if now_s < self._last_expiry_s + TIDY_S:
             return
-        self._tidied_s = now_s
+        self._last_expiry_s = now_s
         expired = self._book.list_expired(now_ms - int(self._keep_s * 1000))
         if expired:
             log_event(_logger, "jobs-expired", term=self.term, jobs=len(expired))
             records = [r for job_id in expired for r in make_expiry_records(job_id)]
             self._spawn(self._writer.commit(tuple(records)))
 
-    def _take_catalog(self) -> None:
+    def _apply_catalog(self) -> None:
         catalog = self._catalog.catalog
         if catalog is not None and catalog.version != self._catalog_version:
             self._catalog_version = catalog.version
             self.scheduler.set_guarantees(catalog.get_guarantees())
 
-    def _match_sessions(self) -> None:
+    def _sync_sessions(self) -> None:
         for heard in self._roster.workers.values():
             entry = heard.entry
             incarnation = Incarnation(entry.started_ms, heard.heard_s)
@@ -439,7 +446,7 @@
             clock,
             self._grant_lease,
             self._grant_start,
-            self._tell,
+            self._enqueue_message,
         )
         self._sessions[name] = session
         self._spawn(session.start())
@@ -458,16 +465,16 @@
         return self.scheduler.grant_lease(worker, now_s)
 
     def _grant_start(self, order: StartTask, now_s: float) -> float | None:
-        # The order may have waited, for a first answer or between two tries.
+        # The order may have become obsolete while it waited for its turn or a retry.
         if not self.scheduler.is_wanted(order.task, order.attempt):
             return None
         return self._grant_lease(order.worker, now_s)
 
-    def _tell(self, message: Message) -> None:
-        self._inbox.append(message)
+    def _enqueue_message(self, message: Message) -> None:
+        self._messages.append(message)
         self._wake.set()
 
-    def _take_message(self, message: Message, now_s: float, now_ms: int) -> None:
+    def _handle_message(self, message: Message, now_s: float, now_ms: int) -> None:
         scheduler = self.scheduler
         if message.worker not in scheduler.state.workers:
             return
@@ -478,19 +485,19 @@
             case ReportAnswer(worker, _, Failure(problem)):
                 if problem.code is Code.ORDER_REFUSED:
                     scheduler.note_refused(worker)
-                self._take_failed_call(worker, problem.code, now_s)
+                self._handle_failed_call(worker, problem.code, now_s)
             case StartDropped(_, task, attempt):
                 scheduler.note_never_sent(task, attempt, now_s)
             case StartAnswer(worker, task, attempt, code, may_act, detail):
                 scheduler.take_start_answer(task, attempt, code, may_act, now_s, detail)
                 if code is not None:
-                    self._take_failed_call(worker, code, now_s)
+                    self._handle_failed_call(worker, code, now_s)
             case StopAnswer(worker, task, attempt, None):
                 scheduler.take_stop_answer(task, attempt, now_s)
             case StopAnswer(worker, _, _, code):
-                self._take_failed_call(worker, code, now_s)
+                self._handle_failed_call(worker, code, now_s)
 
-    def _take_failed_call(self, worker: str, code: Code, now_s: float) -> None:
+    def _handle_failed_call(self, worker: str, code: Code, now_s: float) -> None:
         match code:
             case Code.FENCED:
                 self._tenure.give_up(f"worker {worker} knows a newer term")
@@ -499,7 +506,7 @@
             case Code.WORKER_SILENT | Code.WORKER_UNREACHABLE:
                 self.scheduler.note_silent(worker, now_s)
 
-    # Carrying out what was decided.
+    # Carrying out decisions.
 
     def _carry_out(self, decided: Round) -> None:
         for note in decided.notes:
@@ -524,12 +531,13 @@
             if problem is not None:
                 log_event(_logger, "round-dropped", term=self.term, reason=problem)
                 if problem.code is Code.APPEND_REFUSED:
-                    # The log lacks what this owner believes: only a new one reads it.
-                    self._tenure.give_up("the log refuses a round")
+                    # The state in memory is ahead of the log; a new owner reads the
+                    # state from the log.
+                    self._tenure.give_up("the log refused records")
                 self._wake.set()
                 return
         if decided.leases is not None:
-            self._grant_again(decided.leases)
+            self._renew_recorded_leases(decided.leases)
         for name, seen in decided.seen.items():
             if name in self._sessions:
                 self._sessions[name].acknowledge(seen)
@@ -538,7 +546,7 @@
         if records.dropped:
             await self._progress_writer.commit(records.dropped)
 
-    def _grant_again(self, note: LeaseNote) -> None:
+    def _renew_recorded_leases(self, note: LeaseNote) -> None:
         for name in self.scheduler.take_lease_note(note):
             if name in self._sessions:
                 self._sessions[name].renew()
@@ -554,10 +562,10 @@
         session.set_busy(True)
         session.order_start(order)
 
-    def _spawn(self, job) -> None:
-        task = asyncio.create_task(job)
-        self._rounds.add(task)
-        task.add_done_callback(self._rounds.discard)
+    def _spawn(self, coroutine) -> None:
+        task = asyncio.create_task(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
 
 def _get_times() -> tuple[float, int]:
--- a/src/larkhoist/control/scheduler_node.py
+++ b/src/larkhoist/control/scheduler_node.py
@@ -66,7 +66,7 @@
     def apply(self, record: StoredRecord) -> None:
         decoded = self._node.book.apply(record)
         if decoded is not None and self._node.owner is not None:
-            self._node.owner.take_record(decoded)
+            self._node.owner.apply_record(decoded)
 
 
 class SchedulerNode:
