--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -172,7 +172,7 @@
                 return
         self._wake.set()
 
-    def take_book(self) -> None:
+    def add_open_jobs(self) -> None:
         """Pass all open jobs and cancellations on after the book was replaced."""
         if self.scheduler is None:
             return
--- a/src/larkhoist/control/scheduler_node.py
+++ b/src/larkhoist/control/scheduler_node.py
@@ -1,4 +1,4 @@
-"""Put the tasks of one instance that schedules staged jobs together."""
+"""Assemble the components of one instance that schedules staged jobs."""
 
 import asyncio
 import logging
@@ -33,35 +33,36 @@
 
 _logger = logging.getLogger(__name__)
 CONFIG_WAIT_SHARE = 0.4
-"""How much of the time in which a configuration must be in force one read waits: a
-lost answer must not make it older than callers may see."""
+"""How long one read waits, as a share of the time in which a configuration must be in
+force: the loss of one answer must not make it older than callers may see."""
 BOOK_WAIT_S = 0.5
 BOOK_PAUSE_S = 0.8
-"""While nothing comes, the state is as old as two waits and a pause: less than the age
-at which an instance calls itself not ready. Callers that need the present state have
-the log read at once."""
+"""Without new records, the state is at most two waits and a pause old, which is less
+than ``MAX_STATE_AGE_S``. Calls that need the current state read the log at once."""
 ROSTER_PAUSE_S = 0.5
-"""A leaving worker must be known well within the time it takes to leave."""
-READY_AGE_S = 2.0
-OFFER_S = 2.0
-"""How long an owner that leaves goes on until another claims. A weak instance claims
-1.5 s after the offer and looks each 0.4 s; callers get 2.2 s of notice anyway."""
-TAKE_OVER_S = 6.0
-"""How long a take-over may fail while the log keeps the renewals of the tenure: three
-reads that get too little time on a slow link, and less than the leases that nobody
-renews meanwhile."""
-LONGEST_TAKE_OVER_S = 32.0
+"""Short, since a leaving worker must be noticed well before it has left."""
+MAX_STATE_AGE_S = 2.0
+"""An instance whose state is older is not ready."""
+OFFER_TIMEOUT_S = 2.0
+"""How long a leaving owner continues until another instance claims the tenure. An
+instance with few cores claims 1.5 s after the offer and reads the stream each 0.4 s;
+callers get 2.2 s of notice in any case."""
+MIN_TAKE_OVER_TIMEOUT_S = 6.0
+"""How long a take-over may fail while the log accepts renewals of the tenure. Allows
+three reads that time out on a slow link, and is shorter than the leases of workers,
+which are not renewed meanwhile."""
+MAX_TAKE_OVER_TIMEOUT_S = 32.0
 
 
 class _BookSink:
-    """Fold records into the book and hand them on to the owner."""
+    """Apply records to the book and pass them on to the owner."""
 
     def __init__(self, node: "SchedulerNode"):
         self._node = node
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
         self._node.book.replace(records)
-        self._node.hand_over_book()
+        self._node.update_owner_jobs()
 
     def apply(self, record: StoredRecord) -> None:
         decoded = self._node.book.apply(record)
@@ -70,7 +71,7 @@
 
 
 class SchedulerNode:
-    """Own every task of one instance; ``start`` and ``close`` them in order."""
+    """The components of one instance; starts and closes them in order."""
 
     def __init__(
         self,
@@ -108,7 +109,7 @@
             self._incarnation,
             self._tenure_times,
             self._assess,
-            self._change_term,
+            self._queue_term_change,
         )
         self._desk_times = DeskTimes(config_age_s=0.9 * settings.apply_s)
         self.desk = JobDesk(
@@ -122,8 +123,8 @@
         self.catalog.on_change = self._wake_owner
         self._cordons.on_change = self._wake_owner
         self._leaving = False
-        self._take_over_s = TAKE_OVER_S
-        self._changes: asyncio.Queue[int] = asyncio.Queue()
+        self._take_over_timeout_s = MIN_TAKE_OVER_TIMEOUT_S
+        self._term_changes: asyncio.Queue[int] = asyncio.Queue()
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
@@ -143,11 +144,11 @@
         )
 
     async def leave(self) -> None:
-        """Give up the tenure and call the instance not ready."""
+        """Offer the tenure to other instances, release it and report not ready."""
         self._leaving = True
         log_event(_logger, "leaving", term=self.term)
         if self.owner is not None:
-            await self._tenure.offer(OFFER_S)
+            await self._tenure.offer(OFFER_TIMEOUT_S)
         await self._close_owner()
         await self._tenure.close()
 
@@ -167,18 +168,18 @@
         return self._tenure.term
 
     def is_ready(self, now_s: float) -> bool:
-        """Tell whether callers are answered by a current state."""
+        """Tell whether calls are answered from a current state."""
         return self.assess(now_s) is Fitness.FIT
 
     def assess(self, now_s: float) -> Fitness:
-        """Return whether the instance may serve and claim, or what keeps it."""
+        """Return whether the instance may serve calls and claim, or why it may not."""
         if self._leaving:
             return Fitness.LEAVING
         if self.catalog.catalog is None:
             return Fitness.UNLOADED
         if now_s - self._catalog_follower.synced_s > self._desk_times.config_age_s:
             return Fitness.OLD_CONFIGURATION
-        if now_s - self._book_follower.synced_s > READY_AGE_S:
+        if now_s - self._book_follower.synced_s > MAX_STATE_AGE_S:
             is_loaded = self._book_follower.is_loaded
             return Fitness.OLD_STATE if is_loaded else Fitness.UNLOADED
         if self.is_append_stuck(now_s):
@@ -186,11 +187,11 @@
         return Fitness.FIT
 
     def is_append_stuck(self, now_s: float) -> bool:
-        """Tell whether records have been waiting for the log for long."""
-        return self._writer.get_delay_s(now_s) > READY_AGE_S / 2
+        """Tell whether records have waited too long for the log."""
+        return self._writer.get_delay_s(now_s) > MAX_STATE_AGE_S / 2
 
     def knows_leaving(self, worker: str) -> bool:
-        """Tell whether this instance, as the owner, knows that a worker leaves."""
+        """Tell whether this instance is the owner and a worker is leaving."""
         return self.owner is not None and self.owner.knows_leaving(worker)
 
     def measure(self) -> dict[str, float]:
@@ -214,35 +215,35 @@
             "ready": float(self.is_ready(now_s)),
         }
 
-    def hand_over_book(self) -> None:
-        """Let the owner see jobs that came while the stream's history was gone."""
+    def update_owner_jobs(self) -> None:
+        """Pass jobs on to the owner after the book was loaded again."""
         if self.owner is not None:
-            self.owner.take_book()
+            self.owner.add_open_jobs()
 
     async def _run(self) -> None:
         while True:
-            term = await self._changes.get()
+            term = await self._term_changes.get()
             await self._close_owner()
             if term and term == self._tenure.term and not self._leaving:
-                await self._begin_owner(term)
+                await self._start_owner(term)
 
     async def _close_owner(self) -> None:
-        """Close the owner, if any; a loss of the tenure may come while one leaves."""
+        """Close the owner, if any; the tenure may be lost while the instance leaves."""
         owner, self.owner = self.owner, None
         if owner is not None:
-            self._note_take_over(owner.has_taken_over)
+            self._update_take_over_timeout(owner.has_taken_over)
             await owner.close()
             self._book_follower.set_pause_s(BOOK_PAUSE_S)
 
-    def _note_take_over(self, done: bool) -> None:
-        """Give the next take-over more time after one that did not end.
+    def _update_take_over_timeout(self, done: bool) -> None:
+        """Double the time-out after a failed take-over, reset it after a complete one.
 
-        Where all take long, nobody would come to an end otherwise.
+        Without this, no instance would complete a take-over if all need long.
         """
-        longer_s = min(2 * self._take_over_s, LONGEST_TAKE_OVER_S)
-        self._take_over_s = TAKE_OVER_S if done else longer_s
+        longer_s = min(2 * self._take_over_timeout_s, MAX_TAKE_OVER_TIMEOUT_S)
+        self._take_over_timeout_s = MIN_TAKE_OVER_TIMEOUT_S if done else longer_s
 
-    async def _begin_owner(self, term: int) -> None:
+    async def _start_owner(self, term: int) -> None:
         policy = FleetPolicy(
             lease_s=self._settings.lease_s,
             predecessor_s=self._tenure_times.predecessor_s,
@@ -267,7 +268,7 @@
             SessionTimes(),
             self._create_port,
             self._tenure,
-            self._take_over_s,
+            self._take_over_timeout_s,
             self._settings.keep_s,
         )
         await self.owner.start()
@@ -275,8 +276,8 @@
     def _assess(self) -> Fitness:
         return self.assess(asyncio.get_running_loop().time())
 
-    def _change_term(self, term: int) -> None:
-        self._changes.put_nowait(term)
+    def _queue_term_change(self, term: int) -> None:
+        self._term_changes.put_nowait(term)
 
     def _wake_owner(self) -> None:
         if self.owner is not None:
--- a/src/larkhoist/control/worker_session.py
+++ b/src/larkhoist/control/worker_session.py
@@ -1,4 +1,4 @@
-"""Speak with one worker for the owner, across restarts under the same name."""
+"""Call one worker on behalf of the owner, across restarts under the same name."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportAnswer:
-    """Tell what came of asking a worker for a report at ``asked_s``."""
+    """The result of a request for a report that was sent at ``asked_s``."""
 
     worker: str
     asked_s: float
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """Tell what came of a start; ``code`` is None where the task has begun.
+    """The result of a start order; ``code`` is None if the task has started.
 
-    ``may_act`` tells that an earlier try got no answer: it may have begun the task,
-    or may still, whatever the last answer says. ``detail`` is what it says.
+    ``may_act`` tells that a try got no answer: it may have started the task or may
+    still start it, whatever the last answer says. ``detail`` is from the last answer.
     """
 
     worker: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartDropped:
-    """Tell that a start was not sent: it was not wanted any more, or not allowed."""
+    """A start order that was not sent, since it was obsolete or not allowed."""
 
     worker: str
     task: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopAnswer:
-    """Tell what came of a stop."""
+    """The result of a stop order; ``code`` is None if the worker accepted it."""
 
     worker: str
     task: str
@@ -79,9 +79,9 @@
     code: Code | None
 
 
-MOST_CALLS = 128
-"""How many calls may wait for the owner's processor at once; with 1 ms each, all are
-done well within their time-out."""
+MAX_CONCURRENT_CALLS = 128
+"""Concurrent calls of all sessions. At 1 ms of the owner's processor each, all finish
+well within their time-out."""
 GrantLease = Callable[[str, float], float | None]
 GrantStart = Callable[[StartTask, float], float | None]
 Message = ReportAnswer | StartAnswer | StartDropped | StopAnswer
@@ -89,13 +89,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionTimes:
-    """Hold times of a session in seconds.
+    """The times of a session, in seconds.
 
-    ``wait_share`` is how much of a lease may pass between two renewals: a short
-    share lets leases outlast short cuts. ``idle_wait_s`` is how long a call without a
-    lease waits. Before a start a clock that was last heard of ``clock_age_s`` ago is
-    asked for anew. While a higher token is needed, the session checks for one every
-    ``token_pause_s``.
+    ``wait_share`` is how much of a lease may pass between two renewals: with a small
+    share, leases outlast short network outages. ``idle_wait_s`` is how long a call
+    without a lease waits. A clock reading that is older than ``clock_age_s`` is
+    refreshed before a start. While a higher token is needed, the session checks for
+    one every ``token_pause_s``.
     """
 
     idle_wait_s: float = 0.6
@@ -109,7 +109,7 @@
     start_pause_s: float = 0.1
 
     def get_wait_ms(self, lease_s: float | None) -> int:
-        """Return how long a call with such a lease waits for an end, in ms."""
+        """Return how long the worker may hold a call until a task ends, in ms."""
         if lease_s is None:
             return int(1000 * self.idle_wait_s)
         return int(1000 * min(self.longest_wait_s, lease_s * self.wait_share))
@@ -117,31 +117,32 @@
 
 @dataclass(frozen=True, slots=True)
 class CallLimits:
-    """Bound the calls of all sessions that are to be answered at once.
+    """Limits on concurrent calls of all sessions that workers answer without waiting.
 
-    Calls that are made together share one processor: each of thousands would get too
+    Concurrent calls share one processor: with thousands of them, each would get too
     little of it within its time-out. Calls to silent workers mostly last until their
-    time-out and have a bound of their own, so that others don't wait for them.
+    time-out and have a limit of their own, so that other calls don't wait for them.
     """
 
     prompt: asyncio.Semaphore = field(
-        default_factory=lambda: asyncio.Semaphore(MOST_CALLS)
+        default_factory=lambda: asyncio.Semaphore(MAX_CONCURRENT_CALLS)
     )
     silent: asyncio.Semaphore = field(
-        default_factory=lambda: asyncio.Semaphore(MOST_CALLS)
+        default_factory=lambda: asyncio.Semaphore(MAX_CONCURRENT_CALLS)
     )
 
 
 class WorkerSession:
-    """Own the calls to one worker and tell the owner what comes of them.
+    """The calls to one worker; their results go to the owner by ``send_message``.
 
-    ``grant_lease`` says how long a lease a call may bring, None where it may not;
-    ``grant_start`` the same for a start, None where it may not be sent. ``get_token``
-    returns the owner's fencing token, which increases with each renewal of the tenure.
+    ``grant_lease`` returns the length of the lease that a call may grant, in seconds,
+    or None for no lease; ``grant_start`` does so for a start, which must not be sent
+    where it returns None. ``get_token`` returns the owner's fencing token, which
+    increases with each renewal of the tenure.
     Each incarnation of the worker is called with a higher token than the former one,
     so that it refuses delayed calls that were sent to the former one. Starts and
-    acknowledgements name the incarnation that they are meant for and act in no other
-    one: it has seen no token yet, and uses the same numbers for other ends.
+    acknowledgements name their incarnation and take effect in no other one: a new
+    incarnation has seen no token yet, and uses the same numbers for other ends.
     """
 
     def __init__(
@@ -156,7 +157,7 @@
         clock: WorkerClock,
         grant_lease: GrantLease,
         grant_start: GrantStart,
-        tell: Callable[[Message], None],
+        send_message: Callable[[Message], None],
     ):
         self.address = address
         self._name = name
@@ -170,7 +171,7 @@
         self._clock = clock
         self._grant_lease = grant_lease
         self._grant_start = grant_start
-        self._tell = tell
+        self._send_message = send_message
         self._busy = True
         self._silent = False
         self._has_answered = False
@@ -178,34 +179,34 @@
         self._acknowledged = 0
         self._to_acknowledge = 0
         self._wake = asyncio.Event()
-        self._acked = asyncio.Event()
+        self._ack_added = asyncio.Event()
         self._task: asyncio.Task | None = None
-        self._orders: set[asyncio.Task] = set()
-        self._asking_for_clock: asyncio.Task | None = None
+        self._background_tasks: set[asyncio.Task] = set()
+        self._clock_request: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to ask for reports; the first one is asked for at once."""
+        """Start requesting reports, the first one at once."""
         self._wake.set()
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop speaking with the worker."""
-        await cancel_tasks([self._task, *self._orders])
+        """Cancel all calls to the worker."""
+        await cancel_tasks([self._task, *self._background_tasks])
 
     def set_busy(self, busy: bool) -> None:
-        """Keep the lease up while tasks may run there."""
+        """Set whether tasks may run on the worker, so that its lease is renewed."""
         self._busy = busy
         if busy:
             self._wake.set()
 
     def acknowledge(self, seen: SeenEnds) -> None:
-        """Let the worker forget the ends up to ``seen.number``: the log has them."""
+        """Acknowledge the ends up to ``seen.number``, which are on the log."""
         if seen.started_ms != self._incarnation.started_ms:
             # The current incarnation uses the same numbers for other ends.
             return
         if seen.number > self._to_acknowledge:
             self._to_acknowledge = seen.number
-            self._acked.set()
+            self._ack_added.set()
             self._wake.set()
 
     def update_incarnation(self, started_ms: int) -> bool:
@@ -219,40 +220,40 @@
         return False
 
     def probe(self) -> None:
-        """Ask at once whether the worker answers, beside what is under way."""
+        """Request a report at once, concurrently with calls in flight."""
         self._spawn(self._probe())
 
     def renew(self) -> None:
-        """Renew the lease at once, beside a call that waits without one."""
+        """Renew the lease at once, concurrently with a call that carries no lease."""
         self._spawn(self._probe(with_lease=True))
 
     def order_start(self, order: StartTask) -> None:
-        """Send a start, again where no answer comes."""
+        """Send a start; retry it if no answer arrives."""
         self._spawn(self._start(order))
 
     def order_stop(self, order: StopTask) -> None:
-        """Send a stop once; the scheduler sends it again where it must."""
+        """Send a stop once; the scheduler repeats it if necessary."""
         self._spawn(self._stop(order))
 
     async def _run(self) -> None:
         while True:
             await self._wake.wait()
-            await self._ask()
-            # A silent worker is asked on, since it takes no work until it answers.
+            await self._request_report()
+            # Calls to a silent worker go on, since it gets no tasks until it answers.
             idle = not (self._busy or self._silent or self._has_unanswered_call)
             idle = idle and not self._needs_higher_token
             if idle and self._acknowledged >= self._to_acknowledge:
                 self._wake.clear()
 
-    async def _ask(self) -> None:
+    async def _request_report(self) -> None:
         if not self._refresh_token():
             await asyncio.sleep(self._times.token_pause_s)
             return
         if self._may_wait:
-            result = await self._ask_once(waits=True)
+            result = await self._request_report_once(waits=True)
         else:
             async with self._call_limit:
-                result = await self._ask_once(waits=False)
+                result = await self._request_report_once(waits=False)
         match result:
             case Success(report):
                 await self._wait_for_log(report)
@@ -261,10 +262,10 @@
 
     @property
     def _may_wait(self) -> bool:
-        """Tell whether the next call may wait for an end.
+        """Tell whether the worker may hold the next call until a task ends.
 
-        The first answer is wanted at once, and a clock that was never heard of grants
-        no lease.
+        The first answer is needed at once, and no lease can be granted while the
+        worker's clock is unknown.
         """
         is_responsive = self._has_answered and not (
             self._silent or self._has_unanswered_call
@@ -275,7 +276,9 @@
     def _call_limit(self) -> asyncio.Semaphore:
         return self._limits.silent if self._silent else self._limits.prompt
 
-    async def _ask_once(self, waits: bool) -> Result[WorkerReport, Problem] | None:
+    async def _request_report_once(
+        self, waits: bool
+    ) -> Result[WorkerReport, Problem] | None:
         # The worker may have restarted while the call waited for its turn.
         if not self._refresh_token():
             return None
@@ -288,10 +291,10 @@
         call = LeaseCall(self._token, acknowledged, lease_until_ms, wait_ms, started_ms)
         self._has_unanswered_call = False
         result = await self._renew(call, now_s)
-        self._acked.clear()
+        self._ack_added.clear()
         if result is None:
             return None
-        self._tell(ReportAnswer(self._name, now_s, result))
+        self._send_message(ReportAnswer(self._name, now_s, result))
         match result:
             case Success(_):
                 self._silent = False
@@ -299,8 +302,8 @@
                 if self._is_current(call.token):
                     self._acknowledged = max(self._acknowledged, acknowledged)
             case Failure(_):
-                # A lease that is not answered may have been renewed. It is not
-                # renewed again until the worker answers, so that it surely ends.
+                # The unanswered call may have renewed the lease. It is not renewed
+                # again until the worker answers, so that its end can be relied on.
                 self._silent = True
         return result
 
@@ -328,12 +331,12 @@
                 return
             case Failure(_):
                 self._handle_unanswered_call()
-        self._tell(ReportAnswer(self._name, now_s, result))
+        self._send_message(ReportAnswer(self._name, now_s, result))
 
     async def _renew(
         self, call: LeaseCall, asked_s: float
     ) -> Result[WorkerReport, Problem] | None:
-        """Ask for a report; None where the answer is from a former incarnation.
+        """Request a report; return None if a former incarnation has answered.
 
         A call that was fenced by a higher token of this session also returns None.
         """
@@ -394,20 +397,21 @@
         while newest > self._to_acknowledge:
             try:
                 async with asyncio.timeout(self._times.ack_wait_s):
-                    await self._acked.wait()
-                    self._acked.clear()
+                    await self._ack_added.wait()
+                    self._ack_added.clear()
             except TimeoutError:
                 return
 
     async def _start(self, order: StartTask) -> None:
         if self._clock.get_age_s(read_steady_s()) > self._times.clock_age_s:
-            # By an old estimate the lease is short, after 300 s over at once.
-            await self._ask_for_clock()
+            # An old estimate of the clock shortens the lease; after 300 s nothing of
+            # the lease is left.
+            await self._request_clock()
         self._refresh_token()
         token = self._token
         call = self._make_start(order, token)
         if call is None:
-            self._tell(StartDropped(self._name, order.task, order.attempt))
+            self._send_message(StartDropped(self._name, order.task, order.attempt))
             return
         result = await self._try_start(call)
         may_act = _may_have_acted(result)
@@ -422,7 +426,7 @@
             may_act = may_act or _may_have_acted(result)
         if _is_unanswered(result):
             self._handle_unanswered_call()
-        self._tell(self._make_start_answer(order, result, may_act))
+        self._send_message(self._make_start_answer(order, result, may_act))
 
     def _make_start_answer(
         self, order: StartTask, result: Result[int, Problem], may_act: bool
@@ -434,26 +438,26 @@
                 code, detail = None, ""
         return StartAnswer(self._name, order.task, order.attempt, code, may_act, detail)
 
-    async def _ask_for_clock(self) -> None:
-        """Ask for a report; starts that wait for one at once share it."""
-        if self._asking_for_clock is None or self._asking_for_clock.done():
-            self._asking_for_clock = asyncio.create_task(self._probe())
-            self._own(self._asking_for_clock)
-        await asyncio.wait([self._asking_for_clock])
+    async def _request_clock(self) -> None:
+        """Request a report for its clock; concurrent starts share one request."""
+        if self._clock_request is None or self._clock_request.done():
+            self._clock_request = asyncio.create_task(self._probe())
+            self._track(self._clock_request)
+        await asyncio.wait([self._clock_request])
 
     def _make_start(self, order: StartTask, token: int) -> StartOrder | None:
-        """Return the call for a start that is sent now, None where it must not be.
+        """Return the call for a start that is sent now, None if it must not be sent.
 
         All tries use the same ``token``, so that none can act in a later incarnation
         after a report of it has shown that the attempt is absent.
         """
         if self._incarnation.is_other(order.started_ms):
-            # Whoever takes over this tenure has only the former one to look for it.
+            # A later owner would look for the attempt only in the former incarnation.
             return None
         if not self._refresh_token() or token != self._token:
             return None
         now_s = read_steady_s()
-        # A start brings a lease for all that runs there, as a renewal does.
+        # A start also renews the lease of all other tasks on the worker.
         lease_s = self._grant_start(order, now_s)
         if lease_s is None:
             return None
@@ -484,7 +488,7 @@
                 code = problem.code
         if _is_unanswered(result):
             self._handle_unanswered_call()
-        self._tell(StopAnswer(self._name, order.task, order.attempt, code))
+        self._send_message(StopAnswer(self._name, order.task, order.attempt, code))
 
     def _handle_unanswered_call(self) -> None:
         """Request reports until one arrives.
@@ -505,12 +509,12 @@
                 self._clock.take(clock_ms, read_steady_s())
         return result
 
-    def _spawn(self, job) -> None:
-        self._own(asyncio.create_task(job))
+    def _spawn(self, coroutine) -> None:
+        self._track(asyncio.create_task(coroutine))
 
-    def _own(self, task: asyncio.Task) -> None:
-        self._orders.add(task)
-        task.add_done_callback(self._orders.discard)
+    def _track(self, task: asyncio.Task) -> None:
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
 
 def _convert_outdated_fencing(result: Result[int, Problem]) -> Result[int, Problem]:
