--- a/src/larkhoist/control/__init__.py
+++ b/src/larkhoist/control/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the tasks that keep, answer for and run staged jobs."""
+"""Run staged jobs: the log streams, job calls, leadership and worker sessions."""
--- a/src/larkhoist/control/backoff.py
+++ b/src/larkhoist/control/backoff.py
@@ -1,4 +1,4 @@
-"""Spread out the repeats of a call that fails."""
+"""Delay the retries of a failing call."""
 
 import asyncio
 
@@ -6,9 +6,9 @@
 
 
 class Backoff:
-    """Hold how long after a call the next one is made; twice as long each time.
+    """The interval between the calls of a retried operation; doubles with each wait.
 
-    Times are seconds.
+    Times are in seconds.
     """
 
     def __init__(self, first_s: float, longest_s: float):
@@ -17,13 +17,14 @@
         self._pause_s = first_s
 
     def reset(self) -> None:
-        """Begin anew, since a call has succeeded."""
+        """Reset the interval after a successful call."""
         self._pause_s = self._first_s
 
     async def wait(self, called_s: float) -> None:
-        """Wait until the time for a call after one of ``called_s`` that failed.
+        """Wait until the next call is due, after a failed one made at ``called_s``.
 
-        A call that waited in vain for as long has spread out the calls already.
+        The interval is counted from the start of the failed call, so that one that
+        took longer than the interval is retried at once.
         """
         took_s = asyncio.get_running_loop().time() - called_s
         await asyncio.sleep(max(0.0, self._pause_s - took_s))
--- a/src/larkhoist/control/catalog_keeper.py
+++ b/src/larkhoist/control/catalog_keeper.py
@@ -1,4 +1,4 @@
-"""Keep the newest configuration of queues and customers."""
+"""Hold the current configuration of queues and customers."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -14,7 +14,7 @@
 
 
 class CatalogKeeper:
-    """Hold the newest version that was read; an older one never replaces it."""
+    """The newest configuration version read so far; older versions are ignored."""
 
     def __init__(self, decode: Callable[[StoredRecord], Catalog | None]):
         self._decode = decode
@@ -22,12 +22,12 @@
         self.on_change: Callable[[], None] = lambda: None
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
-        """Take the newest record of each key."""
+        """Apply the newest record of each key."""
         for record in records:
             self.apply(record)
 
     def apply(self, record: StoredRecord) -> None:
-        """Take one record."""
+        """Apply one record."""
         catalog = self._decode(record)
         if catalog is None:
             return
--- a/src/larkhoist/control/cordon_keeper.py
+++ b/src/larkhoist/control/cordon_keeper.py
@@ -1,4 +1,4 @@
-"""Keep which data halls the operators want to get no new work."""
+"""Hold which data halls are cordoned, so that they get no new work."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -13,7 +13,7 @@
 
 
 class CordonKeeper:
-    """Hold the halls that are cordoned by the records read so far."""
+    """The halls that are cordoned according to the records read so far."""
 
     def __init__(self, decode: Callable[[StoredRecord], HallCordon | None]):
         self._decode = decode
@@ -21,9 +21,10 @@
         self.on_change: Callable[[], None] = lambda: None
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
-        """Start anew from the newest record of each key.
+        """Replace all cordons by the newest record of each key.
 
-        A cordon that was lifted while the stream's history was gone has no record.
+        A cordon that was lifted may have no record left, so halls without one are not
+        cordoned.
         """
         decoded = [(record, self._decode(record)) for record in records]
         halls = {c.hall for _, c in decoded if c is not None and c.in_force}
@@ -31,7 +32,7 @@
         self._take(frozenset(halls), offset)
 
     def apply(self, record: StoredRecord) -> None:
-        """Take one record."""
+        """Apply one record."""
         cordon = self._decode(record)
         if cordon is None:
             return
--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -412,10 +412,10 @@
             self.scheduler.set_guarantees(catalog.get_guarantees())
 
     def _sync_sessions(self) -> None:
-        for heard in self._roster.workers.values():
-            entry = heard.entry
-            incarnation = Incarnation(entry.started_ms, heard.heard_s)
-            clock = WorkerClock(entry.clock_ms, heard.heard_s)
+        for roster_entry in self._roster.workers.values():
+            entry = roster_entry.entry
+            incarnation = Incarnation(entry.started_ms, roster_entry.heard_s)
+            clock = WorkerClock(entry.clock_ms, roster_entry.heard_s)
             self._open_session(entry.name, entry.address, incarnation, clock)
         for worker in self.scheduler.list_unlisted():
             incarnation = Incarnation()
--- a/src/larkhoist/control/job_desk.py
+++ b/src/larkhoist/control/job_desk.py
@@ -1,4 +1,4 @@
-"""Take jobs in, answer for them and take cancellations."""
+"""Serve the calls that submit, query and cancel jobs."""
 
 import asyncio
 import logging
@@ -24,11 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DeskTimes:
-    """Hold times in seconds.
+    """The times of the job calls, in seconds.
 
-    ``config_age_s`` is how old the configuration may be that a call is judged by.
-    ``check_s`` bounds a look at the log before a refusal. ``retry_after_s`` is
-    when a caller that was refused should come back.
+    ``config_age_s`` is the maximum age of the configuration that calls are checked
+    against, ``state_age_s`` that of the job states. ``check_s`` is the time-out of a
+    read of the log before a refusal. ``retry_after_s`` is when a refused caller should
+    retry.
     """
 
     config_age_s: float = 1.8
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Hold what a call may work on, and the version that allowed it."""
+    """The queue and customer of an admitted call, and the configuration version."""
 
     queue: JobQueue
     customer: CustomerAccount | None
@@ -52,10 +53,10 @@
 
 
 class JobDesk:
-    """Answer callers from the book and write what they ask for to the log.
+    """The job calls: answers from the book, writes submissions and cancellations.
 
-    A refusal that says that something is not there is checked against the log
-    first, since what was read may be old.
+    Before something is refused as missing, the log is read to its end, since the state
+    in memory may be old.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
     async def admit(
         self, host: str, path: str, credential: str, now_s: float
     ) -> Result[Permit, Problem]:
-        """Find the queue and the customer of a call by a current version."""
+        """Find the queue and customer of a call in a current configuration."""
         age_s = now_s - self._catalog_follower.synced_s
         current = age_s <= self._times.config_age_s
         if not current:
@@ -93,11 +94,11 @@
         return self._find_permit(host, path, credential)
 
     async def submit(self, job: StagedJob, timeout_s: float) -> Problem | None:
-        """Keep a job on the log; None means that it is accepted."""
+        """Append a job to the log; None means that it is accepted."""
         entry = self._book.get(job.job_id)
         if entry is not None:
             log_event(_logger, "job-known", job=job.job_id, state=entry.state.value)
-            return self._check_owner(job.job_id, entry, job.customer)
+            return self._check_customer(job.job_id, entry, job.customer)
         began_s = asyncio.get_running_loop().time()
         record = encode_job_record(JobAccepted(job))
         problem = await self._writer.commit((record,), timeout_s)
@@ -141,7 +142,7 @@
         return problem
 
     def count_waiting(self, permit: Permit, now_s: float) -> Result[int, Problem]:
-        """Return how many jobs of a queue have not begun."""
+        """Return how many jobs of a queue have not started."""
         if now_s - self._book_follower.synced_s > self._times.state_age_s:
             return self._refuse(Code.NOT_READY, "the state may be old")
         return Success(self._book.count_waiting(permit.queue.name))
@@ -159,8 +160,8 @@
     async def _find(self, job_id: str, permit: Permit, now_s: float):
         entry = self._book.get(job_id)
         if entry is None or entry.outcome is None:
-            # What is not final may have changed, and what is not there may have
-            # come: ask the log.
+            # Without an outcome the state may have changed, and an unknown job may have
+            # been added.
             checked = await self._check(self._book_follower)
             entry = self._book.get(job_id)
             age_s = now_s - self._book_follower.synced_s
@@ -168,18 +169,18 @@
                 return self._refuse(Code.NOT_READY, "the state may be old")
         if entry is None:
             return self._refuse(Code.JOB_UNKNOWN, job_id)
-        problem = self._check_owner(job_id, entry, permit.customer_name)
+        problem = self._check_customer(job_id, entry, permit.customer_name)
         return Success(entry) if problem is None else Failure(problem)
 
     async def _check(self, follower: StreamFollower) -> bool:
-        """Read a stream to its end for a call; False where the log can't be read.
+        """Read a stream to its end for a call; return False if the log can't be read.
 
-        Nobody waits for a log that is known not to answer: the follower goes on
-        asking, and the caller is better off with another instance.
+        Calls don't wait for a log that did not answer the last read: the follower
+        retries, and the caller can use another instance meanwhile.
         """
         return follower.in_touch and await follower.catch_up(self._times.check_s)
 
-    def _check_owner(
+    def _check_customer(
         self, job_id: str, entry: BookEntry, customer: str
     ) -> Problem | None:
         if entry.customer == customer or not customer or not entry.customer:
--- a/src/larkhoist/control/operator_records.py
+++ b/src/larkhoist/control/operator_records.py
@@ -1,4 +1,4 @@
-"""Hand the operators' records on to everybody who keeps a part of them."""
+"""Distribute the records of the operators' stream to several sinks."""
 
 from collections.abc import Iterable
 
@@ -9,18 +9,18 @@
 
 
 class OperatorRecords:
-    """Give each record of the operators' stream to all keepers, in order."""
+    """A sink that passes each record to all its sinks, in order."""
 
     def __init__(self, *keepers: StreamSink):
         self._keepers = keepers
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
-        """Start anew from the newest record of each key."""
+        """Pass the newest record of each key to all sinks."""
         newest = tuple(records)
         for keeper in self._keepers:
             keeper.replace(newest)
 
     def apply(self, record: StoredRecord) -> None:
-        """Take one record."""
+        """Pass one record to all sinks."""
         for keeper in self._keepers:
             keeper.apply(record)
--- a/src/larkhoist/control/roster_keeper.py
+++ b/src/larkhoist/control/roster_keeper.py
@@ -1,4 +1,4 @@
-"""Keep the platform's list of workers, as far as it was read."""
+"""Hold the platform's list of workers as read so far."""
 
 from collections.abc import Callable, Iterable
 
@@ -6,13 +6,13 @@
 from larkhoist.ports.fleet import ListedTaskWorker
 from larkhoist.ports.keyed_log import StoredRecord
 
-__all__ = ["WORKER_STREAM", "HeardWorker", "RosterKeeper"]
+__all__ = ["WORKER_STREAM", "RosterEntry", "RosterKeeper"]
 
 WORKER_STREAM = "workers"
 
 
-class HeardWorker:
-    """Hold an entry and when it was read, in steady seconds."""
+class RosterEntry:
+    """A listed worker and when its entry was read, in steady seconds."""
 
     __slots__ = ("entry", "heard_s")
 
@@ -22,30 +22,30 @@
 
 
 class RosterKeeper:
-    """Hold the entries by name; ``version`` changes with them."""
+    """The entries by worker name; ``version`` increases with each change."""
 
     def __init__(self, decode: Callable[[StoredRecord], ListedTaskWorker | None]):
         self._decode = decode
-        self.workers: dict[str, HeardWorker] = {}
+        self.workers: dict[str, RosterEntry] = {}
         self.version = 0
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
-        """Start anew from the newest record of each key."""
+        """Replace all entries by the newest record of each key."""
         self.workers = {}
         self.version += 1
         for record in records:
             self.apply(record)
 
     def apply(self, record: StoredRecord) -> None:
-        """Take one record; one without a value takes the worker off the list."""
+        """Apply one record; a record without a value removes the worker."""
         self.version += 1
         entry = self._decode(record)
         if entry is None:
             self.workers.pop(record.key, None)
             return
         now_s = read_steady_s()
-        self.workers[entry.name] = HeardWorker(entry, now_s)
+        self.workers[entry.name] = RosterEntry(entry, now_s)
 
     def list_entries(self) -> list[ListedTaskWorker]:
         """Return the entries of all listed workers."""
-        return [heard.entry for heard in self.workers.values()]
+        return [roster_entry.entry for roster_entry in self.workers.values()]
--- a/src/larkhoist/control/round_records.py
+++ b/src/larkhoist/control/round_records.py
@@ -1,4 +1,4 @@
-"""Sort what a round of decisions asks to be kept by stream and order."""
+"""Encode the decisions of a round as records of the log's streams."""
 
 from dataclasses import dataclass
 
@@ -17,12 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundRecords:
-    """Hold the records of one round.
+    """The records of one round of decisions.
 
-    ``jobs`` and ``progress`` go to their streams at the same time, and either may get
-    there without the other: a successor makes the outcome from the progress, and
-    stops what runs on after an outcome. ``dropped`` goes to the stream of progress
-    only once ``jobs`` is on the log: a job without outcome and progress is run anew.
+    ``jobs`` and ``progress`` are appended concurrently to their streams, and either may
+    arrive without the other: the next owner derives a missing outcome from the
+    progress, and stops tasks that still run after an outcome. ``dropped`` is appended
+    to the progress stream only once ``jobs`` is on the log, since a job without outcome
+    and progress runs again.
     """
 
     jobs: tuple[KeyedRecord, ...]
@@ -31,7 +32,7 @@
 
 
 def encode_round(decided: Round) -> RoundRecords:
-    """Return the records that the round asks for."""
+    """Return the records of a round."""
     jobs, progress, dropped = [], [], []
     for record in decided.records:
         stream = progress if isinstance(record, PhaseProgress) else jobs
--- a/src/larkhoist/control/settings.py
+++ b/src/larkhoist/control/settings.py
@@ -1,4 +1,4 @@
-"""Hold the checked settings of an instance that schedules staged jobs."""
+"""Define the settings of an instance that schedules staged jobs."""
 
 from pydantic import BaseModel, ConfigDict, Field
 
@@ -8,14 +8,14 @@
 
 
 class FleetSettings(BaseModel):
-    """Hold times in seconds; most follow from the platform's bounds.
+    """The validated settings; times are in seconds, most follow from platform limits.
 
     ``lease_s`` is the longest lease that workers grant, ``apply_s`` how soon a
-    configuration must be in force, ``drain_s`` how long a stop of
-    an instance may take, ``stop_s`` how long a worker may take to stop a task,
-    ``restore_s`` how long a task takes to go on from its checkpoint.
-    ``keep_s`` is how long an ended job is kept for callers.
-    ``cores`` is the processor that the instance may use.
+    configuration must be in force, ``drain_s`` how long an instance may take to stop,
+    ``stop_s`` how long a worker may take to stop a task, ``restore_s`` how long a task
+    takes to resume from its checkpoint.
+    ``keep_s`` is how long the outcome of an ended job is available.
+    ``cores`` is the number of processor cores that the instance may use.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
--- a/src/larkhoist/control/stream_follower.py
+++ b/src/larkhoist/control/stream_follower.py
@@ -19,27 +19,27 @@
 _logger = logging.getLogger(__name__)
 FIRST_BACKOFF_S = 0.1
 LONGEST_BACKOFF_S = 0.5
-"""Short, since an outage must end for callers as soon as it ends for the log."""
+"""Short, so that callers notice the end of an outage of the log soon."""
 HELD_UP_S = 5.0
-"""How often a follower that can't read its stream says so."""
+"""How often a follower logs that it still can't read its stream."""
 
 
 class StreamSink(Protocol):
-    """Take the records of a stream."""
+    """A receiver of the records of a stream."""
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
-        """Start anew from the newest record of each key."""
+        """Replace the state by the newest record of each key."""
 
     def apply(self, record: StoredRecord) -> object:
-        """Take the next record."""
+        """Apply the next record."""
 
 
 class StreamFollower:
-    """Own the place in one stream and hand its records to a sink in order.
+    """A reader of one stream that passes its records to a sink in order.
 
-    A pause spreads out reads of a busy stream; who needs the present state calls
-    ``catch_up``. Calls that come while one such read is under way share the
-    next one, so that a slow link carries each record once.
+    A pause limits the reads of a busy stream; callers that need the current state use
+    ``catch_up``. Concurrent calls of it share the next read after the one in flight, so
+    that a slow link carries each record once.
     """
 
     def __init__(
@@ -58,17 +58,17 @@
         self._pause_changed = asyncio.Event()
         self._position: int | None = None
         self._task: asyncio.Task | None = None
-        self._loading = asyncio.Lock()
+        self._load_lock = asyncio.Lock()
         self._checks: set[asyncio.Task] = set()
-        self._check: asyncio.Task | None = None
+        self._running_check: asyncio.Task | None = None
         self._next_check: asyncio.Task | None = None
-        self._in_touch = True
-        self._lost_s = 0.0
-        self._said_s = 0.0
+        self._is_connected = True
+        self._disconnected_s = 0.0
+        self._logged_s = 0.0
         self.synced_s = float("-inf")
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the stream."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
@@ -78,11 +78,11 @@
     @property
     def in_touch(self) -> bool:
         """Tell whether the log answered the last read."""
-        return self._in_touch
+        return self._is_connected
 
     @property
     def is_loaded(self) -> bool:
-        """Tell whether the stream was read whole once."""
+        """Tell whether the stream has been loaded."""
         return self._position is not None
 
     @property
@@ -91,29 +91,30 @@
         return self._position or 0
 
     async def catch_up(self, timeout_s: float) -> bool:
-        """Read to the end as it is now; False where the log did not answer.
+        """Read to the current end; return False if the log does not answer in time.
 
-        What is read goes on being read after the time-out; later calls don't wait
-        for it.
+        The read continues after the time-out, but later calls don't wait for it.
         """
         asked_s = asyncio.get_running_loop().time()
         if self._next_check is None:
-            self._next_check = asyncio.create_task(self._read_after(self._check))
+            self._next_check = asyncio.create_task(
+                self._read_after(self._running_check)
+            )
             self._checks.add(self._next_check)
             self._next_check.add_done_callback(self._checks.discard)
         try:
             async with asyncio.timeout(timeout_s):
                 return await asyncio.shield(self._next_check)
         except TimeoutError:
-            self._check = self._next_check = None
-            self._note_touch(False, asked_s, f"no answer within {timeout_s} s")
+            self._running_check = self._next_check = None
+            self._record_read(False, asked_s, f"no answer within {timeout_s} s")
             return False
 
     async def _read_after(self, previous: asyncio.Task | None) -> bool:
         if previous is not None:
             await asyncio.wait([previous])
         if self._next_check is asyncio.current_task():
-            self._check, self._next_check = self._next_check, None
+            self._running_check, self._next_check = self._next_check, None
         return await self._read_to_end()
 
     async def _read_to_end(self) -> bool:
@@ -137,12 +138,12 @@
                 await backoff.wait(called_s)
 
     def set_pause_s(self, pause_s: float) -> None:
-        """Set how long to wait between two reads, also for the pause under way."""
+        """Set the pause between two reads, including the current pause."""
         self._pause_s = pause_s
         self._pause_changed.set()
 
     async def _pause(self) -> None:
-        """Wait until the last read, a caller's check included, is old enough."""
+        """Wait until the pause since the last read, by ``catch_up`` or not, is over."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         while (left_s := max(began_s, self.synced_s) + self._pause_s - loop.time()) > 0:
@@ -154,12 +155,12 @@
     async def _step(self) -> bool:
         if self._position is None:
             return await self._load()
-        # A read that waits for a record tells only at its end that an outage is over.
-        wait_s = self._wait_s if self._in_touch else 0.0
+        # During an outage, reads don't wait for records, so that its end shows at once.
+        wait_s = self._wait_s if self._is_connected else 0.0
         return await self._read(wait_s) is not None
 
     async def _load(self) -> bool:
-        async with self._loading:
+        async with self._load_lock:
             return self._position is not None or await self._read_newest()
 
     async def _read_newest(self) -> bool:
@@ -168,10 +169,10 @@
             case Success(newest):
                 self._sink.replace(newest.records)
                 self._position = newest.end
-                self._note_touch(True, asked_s)
+                self._record_read(True, asked_s)
                 return True
             case Failure(problem):
-                self._note_touch(False, asked_s, problem)
+                self._record_read(False, asked_s, problem)
                 return False
 
     async def _read(self, wait_s: float) -> StreamPage | None:
@@ -179,14 +180,14 @@
         match await self._log.read(self.stream, self._position, wait_s):
             case Success(page):
                 self._take_page(page)
-                self._note_touch(True, asked_s)
+                self._record_read(True, asked_s)
                 return page
             case Failure(problem) if problem.code is Code.HISTORY_GONE:
                 log_event(_logger, "history-gone", stream=self.stream)
                 self._position = None
                 return None
             case Failure(problem):
-                self._note_touch(False, asked_s, problem)
+                self._record_read(False, asked_s, problem)
                 return None
 
     def _take_page(self, page: StreamPage) -> None:
@@ -195,27 +196,29 @@
                 self._sink.apply(record)
                 self._position = record.offset + 1
 
-    def _note_touch(self, in_touch: bool, asked_s: float, reason=None) -> None:
-        if in_touch:
+    def _record_read(self, answered: bool, asked_s: float, reason=None) -> None:
+        if answered:
             self.synced_s = max(self.synced_s, asked_s)
         now_s = asyncio.get_running_loop().time()
-        if in_touch != self._in_touch:
-            self._in_touch = in_touch
-            if not in_touch:
-                self._lost_s = now_s
-            self._say("stream-regained" if in_touch else "stream-lost", now_s, reason)
-        elif not in_touch and now_s >= self._said_s + HELD_UP_S:
-            self._say("stream-held-up", now_s, reason)
-
-    def _say(self, event: str, now_s: float, reason) -> None:
-        self._said_s = now_s
+        if answered != self._is_connected:
+            self._is_connected = answered
+            if not answered:
+                self._disconnected_s = now_s
+            self._log_state(
+                "stream-regained" if answered else "stream-lost", now_s, reason
+            )
+        elif not answered and now_s >= self._logged_s + HELD_UP_S:
+            self._log_state("stream-held-up", now_s, reason)
+
+    def _log_state(self, event: str, now_s: float, reason) -> None:
+        self._logged_s = now_s
         log_event(
             _logger,
             event,
-            logging.INFO if self._in_touch else logging.WARNING,
+            logging.INFO if self._is_connected else logging.WARNING,
             stream=self.stream,
             offset=self.position,
             loaded=self.is_loaded,
-            lost_for_s=round(now_s - self._lost_s, 1),
+            lost_for_s=round(now_s - self._disconnected_s, 1),
             reason=reason,
         )
--- a/src/larkhoist/control/stream_writer.py
+++ b/src/larkhoist/control/stream_writer.py
@@ -21,16 +21,16 @@
 FIRST_BACKOFF_S = 0.05
 LONGEST_BACKOFF_S = 0.4
 MAX_BATCH_BYTES = 200_000
-"""Bounds one append, well below what the platform takes in one call."""
+"""Size limit of one append, well below the limit of the platform."""
 RETRY_AFTER_S = 1.0
 STALLED_S = 0.8
-"""Once records have waited this long, new callers are refused rather than held; the
+"""Once records have waited longer, new calls with a time-out are refused at once. The
 log usually answers in 4 ms, and in 0.3 s when it is slow."""
 
 
 @dataclass(slots=True)
 class _Pending:
-    """Hold records that go together, and who waits for them."""
+    """Records that go into the same append, and the future of their caller."""
 
     records: tuple[KeyedRecord, ...]
     added_s: float
@@ -44,12 +44,12 @@
 
 
 class StreamWriter:
-    """Own the queue of what one writer appends, one batch under way at a time.
+    """The append queue of one writer, with at most one batch in flight.
 
-    A batch without an answer is appended again under its old sequence number, so
-    that it takes effect once. A writer that was fenced appends nothing any more. One
-    whose sequence the log does not want begins anew under a higher epoch; where the
-    epoch is a term (``is_term``), the term is over instead.
+    A batch without an answer is appended again under the same sequence number, so
+    that it takes effect once. A fenced writer appends nothing more. If the log rejects
+    the sequence number, the writer restarts its sequence under a higher epoch; where
+    the epoch is a term (``is_term``), it counts as fenced instead.
     """
 
     def __init__(
@@ -68,22 +68,22 @@
         self._is_term = is_term
         self._sequence = 1
         self._queue: deque[_Pending] = deque()
-        self._under_way: list[_Pending] = []
+        self._in_flight: list[_Pending] = []
         self._added = asyncio.Event()
         self._task: asyncio.Task | None = None
-        self._singly = 0
-        self._failing = False
+        self._single_appends = 0
+        self._is_failing = False
         self._times = create_answer_times()
         self.fenced = False
 
     async def start(self) -> None:
-        """Begin to append."""
+        """Start appending."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop appending; whoever waits is told that the outcome is unknown."""
+        """Stop appending; waiting calls return that the outcome is unknown."""
         await cancel_tasks([self._task])
-        for pending in [*self._under_way, *self._queue]:
+        for pending in [*self._in_flight, *self._queue]:
             if not pending.done.done():
                 pending.done.set_result(False)
 
@@ -93,18 +93,18 @@
         return await self._append((), guard)
 
     def get_delay_s(self, now_s: float) -> float:
-        """Return for how long the oldest records have waited."""
-        waiting = [*self._under_way[:1], *list(self._queue)[:1]]
+        """Return how long the oldest records have waited, in seconds."""
+        waiting = [*self._in_flight[:1], *list(self._queue)[:1]]
         return max((now_s - pending.added_s for pending in waiting), default=0.0)
 
     async def commit(
         self, records: tuple[KeyedRecord, ...], timeout_s: float | None = None
     ) -> Problem | None:
-        """Append records; None means that they and all before are on the log.
+        """Append records; None means that they and all earlier ones are on the log.
 
         ``APPEND_REFUSED`` and ``LOG_UNAVAILABLE`` mean that they are not and never will
-        be, ``APPEND_UNKNOWN`` that they may be or may still come. With a time-out,
-        records are refused at once while others have been waiting for long.
+        be on the log, ``APPEND_UNKNOWN`` that they may be or may still get there. With
+        a time-out, records are refused at once if others have waited for ``STALLED_S``.
         """
         loop = asyncio.get_running_loop()
         pending = _Pending(records, loop.time(), loop.create_future())
@@ -117,19 +117,19 @@
         self._added.set()
         try:
             async with asyncio.timeout(timeout_s):
-                kept = await asyncio.shield(pending.done)
+                appended = await asyncio.shield(pending.done)
         except TimeoutError:
-            return self._give_up(pending, may_be_kept=bool(ahead))
+            return self._withdraw(pending, may_be_appended=bool(ahead))
         if any(part.refused for part in (*ahead, pending)):
             return Problem(Code.APPEND_REFUSED)
-        if kept:
+        if appended:
             return None
         return Problem(Code.FENCED if self.fenced else Code.APPEND_UNKNOWN)
 
     def _split(self, pending: _Pending) -> list[_Pending]:
-        """Take off what goes ahead in appends of its own; the rest stays.
+        """Split off leading parts into appends of their own; keep the last part.
 
-        Records beyond what the log takes in one call would be refused for ever.
+        The log would always refuse an append that exceeds its size limit.
         """
         parts, size = [[]], 0
         for record in pending.records:
@@ -145,12 +145,12 @@
             for part in parts
         ]
 
-    def _give_up(self, pending: _Pending, *, may_be_kept: bool) -> Problem:
-        """Withdraw records; ``may_be_kept`` where a part of them went ahead."""
+    def _withdraw(self, pending: _Pending, *, may_be_appended: bool) -> Problem:
+        """Withdraw records; ``may_be_appended`` if a part was queued ahead of them."""
         withdrawn = not pending.sent and pending in self._queue
         if withdrawn:
             self._queue.remove(pending)
-        if withdrawn and not may_be_kept:
+        if withdrawn and not may_be_appended:
             return Problem(Code.LOG_UNAVAILABLE, retry_after_s=RETRY_AFTER_S)
         return Problem(Code.APPEND_UNKNOWN, retry_after_s=RETRY_AFTER_S)
 
@@ -158,7 +158,7 @@
         backoff = Backoff(FIRST_BACKOFF_S, LONGEST_BACKOFF_S)
         while not self.fenced:
             await self._added.wait()
-            if not self._under_way and not self._take_batch():
+            if not self._in_flight and not self._take_batch():
                 self._added.clear()
                 continue
             called_s = asyncio.get_running_loop().time()
@@ -171,16 +171,16 @@
         size = 0
         while self._queue:
             size += self._queue[0].size
-            if self._under_way and (self._singly or size > MAX_BATCH_BYTES):
+            if self._in_flight and (self._single_appends or size > MAX_BATCH_BYTES):
                 break
             pending = self._queue.popleft()
             pending.sent = True
-            self._under_way.append(pending)
-        self._singly = max(0, self._singly - 1)
-        return bool(self._under_way)
+            self._in_flight.append(pending)
+        self._single_appends = max(0, self._single_appends - 1)
+        return bool(self._in_flight)
 
     async def _append_batch(self) -> bool:
-        records = tuple(r for p in self._under_way for r in p.records)
+        records = tuple(r for p in self._in_flight for r in p.records)
         if not records:
             self._settle(True)
             return True
@@ -189,38 +189,38 @@
             case Success(_):
                 self._sequence += 1
                 self._settle(True)
-                self._note_failing(False)
+                self._update_failing(False)
                 return True
-            case Failure(problem) if self._is_over(problem.code):
+            case Failure(problem) if self._ends_writer(problem.code):
                 self.fenced = True
                 self._warn("writer-fenced", problem)
                 self._settle(False)
                 return True
             case Failure(problem) if problem.code is Code.CONDITION_FAILED:
-                # The same batch is refused for ever; a higher epoch takes any sequence.
+                # A retry would always fail; a higher epoch may restart the sequence.
                 self._warn("writer-begins-anew", problem)
                 self._epoch += 1
                 self._sequence = 1
                 return False
             case Failure(problem) if problem.code is Code.APPEND_REFUSED:
-                # They would be refused for ever, and hold up all that come after them.
+                # Retries would always fail, and block all later records.
                 self._warn("records-refused", problem)
                 self._drop_refused()
                 return True
             case Failure(problem):
-                self._note_failing(True, problem)
+                self._update_failing(True, problem)
                 return False
 
     def _drop_refused(self) -> None:
-        """Drop what the log refuses; of several that went together, find out which."""
-        if len(self._under_way) == 1:
+        """Drop the only entry of a refused batch; queue several again, one a batch."""
+        if len(self._in_flight) == 1:
             self._settle(False, refused=True)
             return
-        self._singly = len(self._under_way)
-        self._queue.extendleft(reversed(self._under_way))
-        self._under_way = []
+        self._single_appends = len(self._in_flight)
+        self._queue.extendleft(reversed(self._in_flight))
+        self._in_flight = []
 
-    def _is_over(self, code: Code) -> bool:
+    def _ends_writer(self, code: Code) -> bool:
         return code is Code.FENCED or self._is_term and code is Code.CONDITION_FAILED
 
     def _warn(self, event: str, reason: Problem) -> None:
@@ -230,7 +230,7 @@
             logging.WARNING,
             stream=self._stream,
             epoch=self._epoch,
-            records=sum(len(pending.records) for pending in self._under_way),
+            records=sum(len(pending.records) for pending in self._in_flight),
             reason=reason,
         )
 
@@ -239,22 +239,22 @@
             self._log, self._stream, records, guard, self._times
         )
 
-    def _settle(self, kept: bool, *, refused: bool = False) -> None:
-        settled, self._under_way = self._under_way, []
+    def _settle(self, appended: bool, *, refused: bool = False) -> None:
+        settled, self._in_flight = self._in_flight, []
         if self.fenced:
             settled += self._queue
             self._queue.clear()
         for pending in settled:
             pending.refused = refused
             if not pending.done.done():
-                pending.done.set_result(kept)
+                pending.done.set_result(appended)
 
-    def _note_failing(self, failing: bool, reason=None) -> None:
-        if failing != self._failing:
-            self._failing = failing
+    def _update_failing(self, failing: bool, reason=None) -> None:
+        if failing != self._is_failing:
+            self._is_failing = failing
             event = "append-failing" if failing else "append-regained"
             level = logging.WARNING if failing else logging.INFO
-            waiting = len(self._queue) + len(self._under_way)
+            waiting = len(self._queue) + len(self._in_flight)
             log_event(
                 _logger,
                 event,
--- a/src/larkhoist/control/worker_clock.py
+++ b/src/larkhoist/control/worker_clock.py
@@ -1,4 +1,4 @@
-"""Estimate the steady clock of a worker from the last answer that told it."""
+"""Estimate the steady clock of a worker from its last answer."""
 
 from dataclasses import dataclass
 
@@ -9,36 +9,36 @@
 
 @dataclass(slots=True)
 class WorkerClock:
-    """Hold what a worker's clock showed, in ms, when an answer was read.
+    """The reading of a worker's clock, in ms, when its last answer was read.
 
-    The estimate counts on from there as slowly as the clock may run, so that it is
-    never ahead. A lease that ends by it is over when the owner takes it as over, also
-    when the call is carried out so late that the worker's own bound on leases does not
-    shorten it: an estimate that runs on with true time grants 12 s after a rest of
-    600 s where 6.1 s are counted on.
+    The estimate advances at the slowest rate of the clock, so that it is never ahead.
+    A lease granted by it is therefore over on the worker once the owner takes it as
+    over, even if the worker handles the call so late that its own limit on leases does
+    not shorten it. An estimate that advances with true time would grant 12 s after
+    600 s without an answer, where the owner expects 6.1 s.
     """
 
     clock_ms: int | None = None
     heard_s: float = float("-inf")
 
     def take(self, clock_ms: int, now_s: float) -> None:
-        """Take the clock that an answer told which was read by ``now_s``."""
+        """Record the clock reading of an answer that was read at ``now_s``."""
         self.clock_ms = clock_ms
         self.heard_s = now_s
 
     @property
     def is_known(self) -> bool:
-        """Tell whether the clock was ever heard of."""
+        """Tell whether the worker has reported its clock."""
         return self.clock_ms is not None
 
     def get_age_s(self, now_s: float) -> float:
-        """Return how long ago the clock was heard of."""
+        """Return the age of the last clock reading, in seconds."""
         return now_s - self.heard_s
 
     def get_lease_until_ms(self, now_s: float, lease_s: float) -> int | None:
-        """Return when a lease ends, on the worker's clock, that begins now.
+        """Return the end of a lease that begins now, on the worker's clock.
 
-        None means that the clock was never heard of.
+        Returns None if the worker has not reported its clock.
         """
         if self.clock_ms is None:
             return None
