--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -195,7 +195,7 @@
         self._wake.set()
 
     def knows_leaving(self, worker: str) -> bool:
-        """Tell whether a worker has announced that it is leaving."""
+        """Tell whether a worker is known to be leaving."""
         if self.scheduler is None:
             return False
         found = self.scheduler.state.workers.get(worker)
--- a/src/larkhoist/control/tenure_keeper.py
+++ b/src/larkhoist/control/tenure_keeper.py
@@ -309,7 +309,7 @@
                 if is_first:
                     self._view.inherited = self._is_predecessor()
             case Failure(problem) if self._loaded and problem.code is Code.HISTORY_GONE:
-                # The offset has been trimmed; the newest record is still available.
+                # Not a failed read: the log answers, and still has the newest record.
                 self._loaded = False
                 await self._watch()
             case Failure(problem):
