--- a/src/larkhoist/fleet/scheduler.py
+++ b/src/larkhoist/fleet/scheduler.py
@@ -1,7 +1,8 @@
 """Schedule staged jobs on the workers of one scope.
 
-The scheduler is a pure state machine: it is told what the log, the workers and
-the clocks say, and ``decide`` returns what to append and to send.
+The scheduler is a pure state machine. Its methods take input from the log, the
+workers and the clocks, and ``decide`` returns the records to append and the calls to
+send.
 """
 
 from collections.abc import Iterable, Mapping
@@ -35,8 +36,8 @@
 
 __all__ = ["FleetScheduler", "create_fleet_scheduler"]
 
-LOOK_INTERVAL_S = 0.5
-"""How often waiting work is looked at while nothing changes."""
+PLACEMENT_INTERVAL_S = 0.5
+"""How often placement of waiting tasks is tried again while nothing changes."""
 
 
 class FleetScheduler:
@@ -46,21 +47,21 @@
         self.state = FleetState(policy)
         self._guarantees: dict[str, int] = {}
         self._began_s = began_s
-        self._look_s = float("-inf")
+        self._next_placement_s = float("-inf")
         self._has_more = False
-        self._taken: set[str] = set()
-        self._replaced: dict[str, int] = {}
+        self._added_job_ids: set[str] = set()
+        self._replaced_started_ms: dict[str, int] = {}
         self._silent_leases = SilentLeases()
 
-    # What the scheduler is told.
+    # Inputs.
 
     def set_guarantees(self, guarantees: Mapping[str, int]) -> None:
-        """Take over the guaranteed accelerators by customer."""
+        """Set the number of guaranteed accelerators by customer."""
         self._guarantees = dict(guarantees)
         self.state.changed = True
 
     def set_cordoned_halls(self, halls: frozenset[str]) -> None:
-        """Take over which data halls get no new work; what runs there goes on."""
+        """Set the data halls that get no new work; running tasks continue there."""
         state = self.state
         before, state.cordoned_halls = state.cordoned_halls, halls
         for hall in sorted(before ^ halls):
@@ -71,22 +72,23 @@
             state.changed = True
 
     def take_list(self, listed: Iterable[ListedTaskWorker], now_s: float) -> None:
-        """Take over the platform's list of workers."""
+        """Update the workers from the platform's list."""
         workers = self.state.workers
         names = set()
         for entry in listed:
             names.add(entry.name)
-            if self._is_replaced(entry):
-                # The entry outlives the worker; each look would ask it again.
+            if self._is_replaced_incarnation(entry):
+                # The entry of a replaced worker may stay on the list. Adding it would
+                # call the worker again after every read of the list.
                 continue
             worker = workers.get(entry.name)
             if worker is None or not worker.service:
                 self._add_worker(entry, now_s)
             else:
                 self._update_worker(worker, entry, now_s)
-        self._replaced = {
+        self._replaced_started_ms = {
             name: started_ms
-            for name, started_ms in self._replaced.items()
+            for name, started_ms in self._replaced_started_ms.items()
             if name in names
         }
         for name, worker in workers.items():
@@ -94,11 +96,11 @@
                 self._unlist(worker, now_s)
 
     def add_job(self, entry: BookEntry, now_s: float, now_ms: int) -> None:
-        """Take in a job that the log holds."""
-        # A job that ended in this term may come again before its outcome is read.
-        if entry.job.job_id in self._taken or entry.unreadable:
+        """Add a job that was read from the log."""
+        # A job that ended in this term may be read again before its outcome is read.
+        if entry.job.job_id in self._added_job_ids or entry.unreadable:
             return
-        self._taken.add(entry.job.job_id)
+        self._added_job_ids.add(entry.job.job_id)
         for progress in entry.phases.values():
             for task in progress.tasks:
                 if task.worker and task.worker not in self.state.workers:
@@ -112,11 +114,11 @@
         elif entry.cancelled:
             self.cancel_job(entry.job.job_id, now_s, now_ms)
         elif active.is_out_of_attempts or has_given_up_task(active):
-            # The last failure or loss reached the log and the outcome did not.
+            # The log holds the last failure or lost worker, but not the outcome.
             self.state.end_job(active, Code.JOB_FAILED, now_s, now_ms)
 
     def take_book(self, book: JobBook, now_s: float, now_ms: int) -> None:
-        """Take over every job of which more than the outcome is kept."""
+        """Add every job of the book that holds more than an outcome."""
         for entry in book.entries.values():
             if entry.job is None:
                 continue
@@ -126,15 +128,16 @@
         )
 
     def cancel_job(self, job_id: str, now_s: float, now_ms: int) -> None:
-        """End a job on its submitter's wish."""
+        """End a job that its submitter has cancelled."""
         active = self.state.jobs.get(job_id)
         if active is not None:
             self.state.end_job(active, Code.JOB_CANCELLED, now_s, now_ms)
 
     def grant_lease(self, worker: str, now_s: float) -> float | None:
-        """Return how long a lease a call to a worker brings that is sent now.
+        """Return the lease for a call that is about to be sent to a worker, in seconds.
 
-        None means that the call must bring none: no task may run there.
+        None means that the call must not grant a lease, since no task may run there or
+        the worker's leases are withheld.
         """
         found = self.state.workers.get(worker)
         if found is None or not found.tasks or self._silent_leases.withholds(worker):
@@ -147,7 +150,7 @@
         return lease_s
 
     def take_lease_note(self, note: LeaseNote) -> list[str]:
-        """Take a note on leases that the log has; return who may get one again."""
+        """Apply a lease note once it is on the log; return who may get leases again."""
         return self._silent_leases.grant(note)
 
     def note_silent(self, worker: str, asked_s: float) -> None:
@@ -162,13 +165,13 @@
         if not found.hall:
             return
         if self.state.doubts.note_silent(found.hall, worker, asked_s):
-            self._doubt(found.hall)
+            self._probe_hall(found.hall)
 
     def note_refused(self, worker: str) -> None:
-        """Note that a worker refused to report: it gets no work until it does.
+        """Note that a worker refused to report; it gets no new tasks until it answers.
 
-        Starts that it refuses would put off the time at which its lease is taken as
-        over: what ran on a worker that refused all calls for 40 s waited 39 s.
+        Each start that is sent to it would extend its lease and so delay the release of
+        its tasks: when a worker refused all calls for 40 s, they waited for 39 s.
         """
         found = self.state.workers[worker]
         if found.silent:
@@ -196,7 +199,7 @@
         now_s: float,
         now_ms: int,
     ) -> None:
-        """Take a report that was asked for at ``asked_s``."""
+        """Process a report that was requested at ``asked_s``."""
         found = self.state.workers[worker]
         take_report(self.state, found, report, asked_s, now_s, now_ms)
 
@@ -209,15 +212,15 @@
         now_s: float,
         detail: str = "",
     ) -> None:
-        """Take the answer to a start order; None means that the task has begun.
+        """Process the answer to a start order; a code of None means that it succeeded.
 
-        ``may_act`` tells that an earlier try of the order may still begin it,
-        ``detail`` what the worker said of a refusal, for the log.
+        ``may_act`` is set if an earlier try of the order may still start the task.
+        ``detail`` is the worker's text for a refusal, for the log.
         """
         take_start_answer(self.state, task, attempt, code, may_act, now_s, detail)
 
     def take_stop_answer(self, task: str, attempt: int, now_s: float) -> None:
-        """Take the answer to a stop order."""
+        """Process the answer to a stop order."""
         take_stop_answer(self.state, task, attempt, now_s)
 
     def note_never_sent(self, task: str, attempt: int, now_s: float) -> None:
@@ -232,14 +235,14 @@
         if found is not None:
             found.listed = False
             found.strays = {}
-            self._replaced[worker] = found.incarnation.started_ms
+            self._replaced_started_ms[worker] = found.incarnation.started_ms
             take_worker_gone(self.state, found, WorkerReplaced(), now_s)
             self.state.take_late_crashes("", 0, found.address)
 
     def is_wanted(self, task: str, attempt: int) -> bool:
-        """Tell whether a start that was decided earlier is still wanted.
+        """Tell whether a start that was decided earlier is still to be sent.
 
-        A start may wait for the log or its worker for longer than a cordon gives.
+        While a start waits for the log or its worker, its data hall may be cordoned.
         """
         found = self.state.find_task(task, attempt)
         if found is None or found[1].state is not TaskState.STARTING:
@@ -247,21 +250,21 @@
         return not self.state.is_cordoned(self.state.workers[found[1].worker])
 
     def is_busy(self, worker: str) -> bool:
-        """Tell whether tasks may run on a worker, or run there unwanted."""
+        """Tell whether tasks, including strays, may run on a worker."""
         found = self.state.workers.get(worker)
         return found is not None and bool(found.tasks or found.strays)
 
-    # What the scheduler decides.
+    # Decisions.
 
     def decide(self, now_s: float, now_ms: int) -> Round:
-        """Move everything on and return what to append and to send."""
+        """Advance the state; return the records to append and the calls to send."""
         state = self.state
         self._check_leases(now_s)
         self._send_stops_again(now_s)
-        self._end_finished(now_s, now_ms)
+        self._end_finished_jobs(now_s, now_ms)
         state.round.leases = self._silent_leases.update(state.workers.values(), now_s)
-        if state.changed or self._has_more or now_s >= self._look_s:
-            self._look_s = now_s + LOOK_INTERVAL_S
+        if state.changed or self._has_more or now_s >= self._next_placement_s:
+            self._next_placement_s = now_s + PLACEMENT_INTERVAL_S
             mark_firm(state.jobs.values(), self._guarantees)
             state.changed = False
             self._has_more = place_waiting(state, self._guarantees, now_s)
@@ -269,16 +272,16 @@
 
     @property
     def has_more(self) -> bool:
-        """Tell whether the last decision left work over for the next one."""
+        """Tell whether the last call to ``decide`` left placements for the next one."""
         return self._has_more
 
     def list_unlisted(self) -> list[FleetWorker]:
-        """Return the workers off the list that can be reached by their address."""
+        """Return the workers that are not listed but have a known address."""
         workers = self.state.workers.values()
         return [w for w in workers if not w.listed and w.address]
 
     def get_next_due_s(self, now_s: float) -> float:
-        """Return when the next run of a scheduled job falls due."""
+        """Return when the next run of a scheduled job is due, in steady seconds."""
         due = [
             phase.due_s
             for active, phase in self.state.iter_phases()
@@ -287,7 +290,7 @@
         return min(due, default=float("inf"))
 
     def list_unserved_s(self, now_s: float) -> list[float]:
-        """Return for how long no task has started of each step with tasks that wait."""
+        """Return the seconds since the last start of a task, for each waiting step."""
         return [
             now_s - phase.unserved_since_s
             for active, phase in self.state.iter_phases()
@@ -306,15 +309,18 @@
                 del self.state.workers[worker.name]
 
     def _send_stops_again(self, now_s: float) -> None:
-        again_s = now_s - self.state.policy.resend_stop_s
+        resend_before_s = now_s - self.state.policy.resend_stop_s
         for worker in self.state.workers.values():
             for _, task in self.state.list_tasks_on(worker):
-                if task.state is TaskState.STOPPING and task.stop_sent_s <= again_s:
+                if (
+                    task.state is TaskState.STOPPING
+                    and task.stop_sent_s <= resend_before_s
+                ):
                     self.state.send_stop(task, now_s)
-            if worker.strays and worker.strays_stopped_s <= again_s:
+            if worker.strays and worker.strays_stopped_s <= resend_before_s:
                 self.state.send_stray_stops(worker, now_s)
 
-    def _end_finished(self, now_s: float, now_ms: int) -> None:
+    def _end_finished_jobs(self, now_s: float, now_ms: int) -> None:
         for active in list(self.state.jobs.values()):
             phases = active.phases.values()
             if not active.ended and all(phase.is_done for phase in phases):
@@ -324,28 +330,28 @@
             if active.ended and all(phase.is_off_workers for phase in phases):
                 self.state.forget_job(active)
 
-    def _doubt(self, hall: str) -> None:
-        """Ask everybody in a hall that may be cut off."""
-        doubtful = [
+    def _probe_hall(self, hall: str) -> None:
+        """Probe all responsive workers in a data hall that may be cut off."""
+        probed = [
             worker.name
             for worker in self.state.workers.values()
             if worker.hall == hall and worker.listed and not worker.silent
         ]
-        self.state.note("hall-doubted", hall=hall, workers=len(doubtful))
-        self.state.round.probes += doubtful
+        self.state.note("hall-doubted", hall=hall, workers=len(probed))
+        self.state.round.probes += probed
 
     # The list of workers.
 
-    def _is_replaced(self, entry: ListedTaskWorker) -> bool:
-        """Tell whether the entry's incarnation, or a later one, was replaced."""
-        started_ms = self._replaced.get(entry.name)
+    def _is_replaced_incarnation(self, entry: ListedTaskWorker) -> bool:
+        """Tell whether the entry's incarnation, or a later one, has been replaced."""
+        started_ms = self._replaced_started_ms.get(entry.name)
         return started_ms is not None and entry.started_ms <= started_ms
 
     def _add_worker(self, entry: ListedTaskWorker, now_s: float) -> None:
         worker = self.state.workers.get(entry.name)
         if worker is None:
-            inherited_s = self._began_s + self._get_inherited_s()
-            worker = create_worker(entry, inherited_s)
+            inherited_end_s = self._began_s + self._get_inherited_lease_s()
+            worker = create_worker(entry, inherited_end_s)
             self.state.workers[entry.name] = worker
         else:
             worker.take_entry(entry)
@@ -370,7 +376,7 @@
             worker.leaving = True
             if entry.remaining_s is not None:
                 worker.leaves_s = now_s + entry.remaining_s
-            self._clear_leaving(worker, now_s)
+            self._stop_checkpointing_tasks(worker, now_s)
         if entry.capacity != worker.capacity:
             self.state.note(
                 "worker-resized",
@@ -390,8 +396,8 @@
             self.state.changed = True
             self.state.note("worker-listed-again", worker=worker.name)
 
-    def _clear_leaving(self, worker: FleetWorker, now_s: float) -> None:
-        """Stop what keeps its progress and would not end before the worker goes."""
+    def _stop_checkpointing_tasks(self, worker: FleetWorker, now_s: float) -> None:
+        """Stop checkpointing tasks that would not finish before the worker leaves."""
         left_s = (worker.leaves_s or now_s) - now_s
         for phase, task in self.state.list_tasks_on(worker):
             job = self.state.jobs[phase.id.job_id].job
@@ -400,9 +406,9 @@
                 self.state.stop(phase, task, now_s)
 
     def _unlist(self, worker: FleetWorker, now_s: float) -> None:
-        # That an entry is gone proves nothing: entries lapse while workers run on, and
-        # a task that starts elsewhere would run twice. Only the worker's own word or
-        # the end of its lease frees its tasks.
+        # A missing entry doesn't prove that the tasks have ended: entries can lapse
+        # while workers keep running, and a task started elsewhere would then run twice.
+        # Only an answer from its address or the end of its lease releases its tasks.
         self.state.note(
             "worker-unlisted",
             worker=worker.name,
@@ -415,8 +421,8 @@
         self.state.changed = True
 
     def _add_unlisted(self, name: str, address: str) -> None:
-        # The log names a worker that is not listed: its own word or time tells
-        # that its tasks are over.
+        # The log names a worker that is not listed. Its tasks are released by an answer
+        # from its address or by the end of its lease.
         self.state.workers[name] = FleetWorker(
             name,
             "",
@@ -424,22 +430,23 @@
             "",
             frozenset(),
             Resources(),
-            self._began_s + self._get_inherited_s(),
+            self._began_s + self._get_inherited_lease_s(),
             address,
             listed=False,
             unlisted_s=self._began_s,
         )
 
-    def _get_inherited_s(self) -> float:
+    def _get_inherited_lease_s(self) -> float:
+        """Return how long leases of former owners may last, in seconds."""
         policy = self.state.policy
         return policy.predecessor_s + policy.lapse_s
 
 
 def _format_room(room: Resources) -> str:
-    """Return thousandths of a core, MB and accelerators."""
+    """Format as thousandths of a core, MB and accelerators."""
     return f"{room.cpu_milli}/{room.memory_mb}/{room.accelerators}"
 
 
 def create_fleet_scheduler(policy: FleetPolicy, now_s: float) -> FleetScheduler:
-    """Return a scheduler whose owner has just begun its tenure."""
+    """Return a scheduler for an owner whose tenure begins at ``now_s``."""
     return FleetScheduler(policy, now_s)
--- a/src/larkhoist/fleet/state.py
+++ b/src/larkhoist/fleet/state.py
@@ -1,7 +1,8 @@
-"""Hold workers, jobs and tasks, and the steps that a task can take.
+"""Hold workers, jobs and tasks, and apply the state transitions of tasks.
 
-Every step keeps the account of the workers' room and notes what the log must
-keep. Decisions and reports use these steps alone.
+Every transition updates the used room of the workers and marks the progress that must
+be appended to the log. Placement and report handling change tasks only through these
+transitions.
 """
 
 from collections import Counter
@@ -35,14 +36,15 @@
 
 __all__ = ["FleetState"]
 
-CLOCK_SLACK_MS = 200
-"""By how much the times of day of two instances usually differ at the most."""
+MAX_CLOCK_SKEW_MS = 200
+"""The largest usual difference between the wall clocks of two instances."""
 
 
 class FleetState:
-    """Hold everything the scheduler of staged jobs knows.
+    """Hold the state of the scheduler of staged jobs.
 
     ``suspects`` names the tasks that are blamed for a worker's crash and not done.
+    ``over_by_proof`` counts the attempts that are over, by the name of the proof.
     """
 
     def __init__(self, policy: FleetPolicy):
@@ -62,12 +64,12 @@
         self.over_by_proof: Counter[str] = Counter()
         self.suspects: set[str] = set()
         self._tasks: dict[str, tuple[Phase, Task]] = {}
-        self._dirty: dict[int, Phase] = {}
+        self._dirty_phases: dict[int, Phase] = {}
 
     # Jobs.
 
     def add_job(self, entry: BookEntry, now_s: float, now_ms: int) -> ActiveJob:
-        """Take in a job as the log has it; what may run is taken as running."""
+        """Add a job from the log; tasks that may run count as running."""
         job = entry.job
         active = ActiveJob(job, now_s + (job.submitted_ms - now_ms) / 1000)
         active.ended = entry.outcome is not None
@@ -81,13 +83,13 @@
                 active.phases[(run, step)] = phase
                 self._index_phase(phase, now_s)
                 since_ms = find_wait_start_ms(job, phase.id, entry.phases)
-                self._begin_wait(phase, since_ms, now_s, now_ms)
+                self._restore_wait_start(phase, since_ms, now_s, now_ms)
         self.jobs[job.job_id] = active
         self.changed = True
         return active
 
     def end_job(self, active: ActiveJob, code: Code, now_s: float, now_ms: int) -> None:
-        """Note how a job ended and stop what is left of it."""
+        """Record the outcome of a job and stop its remaining tasks."""
         if active.ended:
             return
         active.ended = True
@@ -118,7 +120,7 @@
                 yield active, phase
 
     def find_task(self, name: str, attempt: int) -> tuple[Phase, Task] | None:
-        """Return the task whose current attempt this is and may run."""
+        """Return the task if ``attempt`` is its current one and may run."""
         found = self._tasks.get(name)
         if found is None or found[1].attempt != attempt or not found[1].is_on_worker:
             return None
@@ -129,9 +131,9 @@
         return self._tasks.get(name)
 
     def find_waiting(self, name: str, attempt: int) -> tuple[Phase, Task] | None:
-        """Return the task whose newest attempt this is and that waits for a next one.
+        """Return the task if ``attempt`` is its last one and the task waits again.
 
-        Its attempt was taken not to run; that it is done is true all the same.
+        The attempt was released, but a late report that it is done is still valid.
         """
         found = self._tasks.get(name)
         if found is None or not 0 < attempt == found[1].attempt:
@@ -143,16 +145,16 @@
         return [self._tasks[name] for name in sorted(worker.tasks)]
 
     def list_suspect_workers(self) -> set[str]:
-        """Return the workers on which a task may run that may crash them."""
+        """Return the workers on which suspects may run."""
         tasks = [self._tasks[name][1] for name in self.suspects]
         return {task.worker for task in tasks if task.is_on_worker}
 
     def is_cordoned(self, worker: FleetWorker) -> bool:
-        """Tell whether operators want a worker's data hall to get no new work."""
+        """Tell whether a worker's data hall is cordoned and gets no new work."""
         return worker.hall in self.cordoned_halls
 
     def is_in_service(self, worker: FleetWorker) -> bool:
-        """Tell whether a worker counts as room for what waits."""
+        """Tell whether a worker's room counts for waiting tasks."""
         return worker.listed and not self.is_cordoned(worker)
 
     def is_usable(self, worker: FleetWorker, now_s: float) -> bool:
@@ -165,7 +167,11 @@
         )
 
     def may_probe(self, worker: FleetWorker, after_s: float, now_s: float) -> bool:
-        """Tell whether only its quarantine holds a worker that is calm for long."""
+        """Tell whether a worker may get a task that tests if it still fails.
+
+        Only its quarantine may exclude it, and its last failure must be older than
+        ``after_s`` seconds.
+        """
         return (
             worker.is_usable(now_s)
             and not self.is_cordoned(worker)
@@ -173,17 +179,17 @@
             and not self.doubts.covers(worker.hall, worker.heard_s)
         )
 
-    # Steps of a task.
+    # Transitions of tasks.
 
     def assign(self, phase: Phase, places: dict[int, str], now_s: float) -> None:
         """Order tasks of a phase to start; members of a gang share the attempt."""
         active = self.jobs[phase.id.job_id]
         chosen = [phase.tasks[index] for index in places]
         if not phase.is_starting:
-            phase.unserved_before_s = phase.unserved_since_s
-        newest = max(task.attempt for task in chosen)
+            phase.previous_unserved_since_s = phase.unserved_since_s
+        last_attempt = max(task.attempt for task in chosen)
         for task in chosen:
-            task.attempt = (newest if phase.spec.gang else task.attempt) + 1
+            task.attempt = (last_attempt if phase.spec.gang else task.attempt) + 1
             task.state = TaskState.STARTING
             task.began_s = now_s
             task.saved_s = now_s
@@ -191,7 +197,7 @@
             task.seen_running = False
             task.seen_before = False
             note_start(task)
-            self._occupy(phase, task, places[task.index])
+            self._place_task(phase, task, places[task.index])
             worker = self.workers[task.worker]
             task.worker_started_ms = worker.incarnation.started_ms
             self.extend_lease(worker, now_s, self.policy.lease_s)
@@ -205,7 +211,7 @@
                     task.worker_started_ms,
                 )
             )
-        self._note_served(phase, now_s)
+        self._restart_wait(phase, now_s)
         self.touch(phase)
         if not active.begun:
             active.begun = True
@@ -235,53 +241,53 @@
         self.round.stops.append(StopTask(task.worker, task.name, task.attempt))
 
     def send_stray_stops(self, worker: FleetWorker, now_s: float) -> None:
-        """Send, or send again, the orders to stop what nobody wants on a worker."""
+        """Send, or send again, the orders to stop the strays on a worker."""
         worker.strays_stopped_s = now_s
         for name, attempt in worker.strays.items():
             self.round.stops.append(StopTask(worker.name, name, attempt))
 
     def close_broken_gangs(self, active: ActiveJob, now_s: float) -> None:
-        """Stop the rest of gangs of which a former owner saw a member end."""
+        """Stop the rest of gangs that lost a member under a former owner."""
         for phase in active.phases.values():
             off = [t for t in phase.tasks if not t.is_on_worker]
             if phase.spec.gang and off and not phase.is_off_workers:
-                self._close_gang(phase, now_s)
+                self._stop_gang(phase, now_s)
 
     def finish(self, phase: Phase, task: Task, proof: Proof, now_s: float) -> None:
         """Note that a task has ended as done."""
         if task.is_on_worker:
-            self._note_over(task, proof, now_s)
-        self._vacate(phase, task)
+            self._note_attempt_over(task, proof, now_s)
+        self._free_room(phase, task)
         task.has_begun = True
         task.state = TaskState.DONE
         task.checkpoint = ""
         self.suspects.discard(task.name)
-        self._note_turns(phase, now_s)
+        self._start_dependent_waits(phase, now_s)
         self.touch(phase)
 
     def release(self, phase: Phase, task: Task, proof: Proof, now_s: float) -> None:
-        """Note that a task's attempt does not run any more, as ``proof`` tells."""
+        """Set a task to waiting, since ``proof`` shows that its attempt is over."""
         if not task.is_on_worker:
             return
-        self._note_over(task, proof, now_s)
-        self._vacate(phase, task)
+        self._note_attempt_over(task, proof, now_s)
+        self._free_room(phase, task)
         match proof:
             case StartRefused() | NeverSent():
-                phase.unserved_since_s = phase.unserved_before_s
+                phase.unserved_since_s = phase.previous_unserved_since_s
             case AbsentFromReport() | WorkerRestarted() if not task.seen_running:
-                # The start never acted: its owner was gone, or the order was lost.
-                phase.unserved_since_s = phase.unserved_before_s
+                # The task never started: its owner was gone, or the order was lost.
+                phase.unserved_since_s = phase.previous_unserved_since_s
             case _ if not phase.has_waiting:
                 phase.unserved_since_s = now_s
         task.state = TaskState.WAITING
-        self._note_suspect(phase, task)
+        self._update_suspect(phase, task)
         phase.waiting_since_s = now_s
         self.touch(phase)
         if phase.spec.gang:
-            self._close_gang(phase, now_s)
+            self._stop_gang(phase, now_s)
 
     def take_late_crashes(self, name: str, started_ms: int, address: str) -> None:
-        """Count the crashes that an incarnation which has come up tells of."""
+        """Count the crashes that are shown by a new incarnation at an address."""
         for run in self.late_crashes.take(name, started_ms, address):
             found = self._tasks.get(run.task)
             if found is None or found[1].state is TaskState.DONE:
@@ -297,18 +303,18 @@
                 blamed=task.lost.blamed,
                 unsure=task.lost.unsure,
             )
-            self._note_suspect(phase, task)
+            self._update_suspect(phase, task)
             self.touch(phase)
 
     def note_running(self, phase: Phase, task: Task) -> None:
         """Note that the worker has said that an attempt runs."""
         if task.lost.count and not task.was_seen:
-            # Another owner could not tell it from a start that was never carried out.
-            self._dirty[id(phase)] = phase
+            # Otherwise the next owner could not tell whether the start was carried out.
+            self._dirty_phases[id(phase)] = phase
         task.note_running()
 
     def drop_plan(self, phase: Phase) -> None:
-        """Give back the room that is kept for a phase."""
+        """Release the room that is held for a phase."""
         for name in phase.plan.values():
             worker = self.workers.get(name)
             if worker is not None:
@@ -316,40 +322,40 @@
         phase.plan = {}
 
     def keep_plan(self, phase: Phase, places: dict[int, str]) -> None:
-        """Keep room for a phase while others stop."""
+        """Hold room for a phase while other tasks stop."""
         phase.plan = places
         for name in places.values():
             self.workers[name].hold(phase.need)
 
     def touch(self, phase: Phase) -> None:
-        """Have the phase's progress kept on the log."""
-        self._dirty[id(phase)] = phase
+        """Mark the phase's progress to be appended to the log."""
+        self._dirty_phases[id(phase)] = phase
         self.changed = True
 
     def note(self, event: str, **fields: object) -> None:
-        """Have a decision logged."""
+        """Add a log event to the round."""
         self.round.notes.append(Note(event, fields))
 
     def take_round(self, now_s: float, now_ms: int) -> Round:
-        """Return what has gathered up and begin anew."""
+        """Return the collected effects and begin an empty round."""
         taken, self.round = self.round, Round()
-        dirty = self._dirty.values()
+        dirty = self._dirty_phases.values()
         progress = [phase.make_progress(now_s, now_ms) for phase in dirty]
         taken.records = [*progress, *taken.records]
-        self._dirty = {}
+        self._dirty_phases = {}
         return taken
 
-    # Details.
+    # Helpers.
 
-    def _note_over(self, task: Task, proof: Proof, now_s: float) -> None:
-        """Have it logged by what an attempt is over; its listed end has a line."""
+    def _note_attempt_over(self, task: Task, proof: Proof, now_s: float) -> None:
+        """Log the proof that an attempt is over; a listed end is logged elsewhere."""
         name = proof.NAME
         self.over_by_proof[name] += 1
         match proof:
             case EndListed():
                 return
             case StartRefused():
-                # An event of its own: many at once must not hide other evidence.
+                # Logged as another event: many refusals at once would hide the others.
                 event = "start-refused"
             case _:
                 event = "attempt-over"
@@ -370,8 +376,8 @@
             **describe_proof(proof, now_s),
         )
 
-    def _note_suspect(self, phase: Phase, task: Task) -> None:
-        """Note what workers were lost under a task; too many end its job."""
+    def _update_suspect(self, phase: Phase, task: Task) -> None:
+        """Update whether a task is a suspect; give up its job after too many losses."""
         if task.lost.blamed:
             self.suspects.add(task.name)
         else:
@@ -401,23 +407,26 @@
                 task.began_s = now_s
                 task.saved_s = now_s
                 task.settled_s = now_s
-                self._occupy(phase, task, task.worker)
+                self._place_task(phase, task, task.worker)
         phase.known_since_s = now_s
 
-    def _begin_wait(
+    def _restore_wait_start(
         self, phase: Phase, since_ms: int | None, now_s: float, now_ms: int
     ) -> None:
-        """Go on with a wait that a former owner saw; ``since_ms`` is None if unknown.
+        """Continue the wait that a former owner recorded; ``since_ms`` may be unknown.
 
-        Begun anew by each owner, it would never end while owners change often.
+        If each owner restarted the wait, no phase would appear to wait for long while
+        owners change often.
         """
         since_s = now_s - self.policy.longest_wait_s
-        # A time that lies ahead was told by a clock that is, and tells nothing.
-        if since_ms is not None and since_ms <= now_ms + CLOCK_SLACK_MS:
+        # A start in the future comes from a clock that is ahead, and is ignored.
+        if since_ms is not None and since_ms <= now_ms + MAX_CLOCK_SKEW_MS:
             since_s = min(now_s, now_s - (now_ms - since_ms) / 1000)
-        phase.unserved_since_s = phase.unserved_before_s = max(phase.due_s, since_s)
+        phase.unserved_since_s = phase.previous_unserved_since_s = max(
+            phase.due_s, since_s
+        )
 
-    def _occupy(self, phase: Phase, task: Task, name: str) -> None:
+    def _place_task(self, phase: Phase, task: Task, name: str) -> None:
         worker = self.workers[name]
         task.worker = name
         task.address = worker.address
@@ -425,34 +434,35 @@
         worker.use(phase.need)
 
     def extend_lease(self, worker: FleetWorker, now_s: float, lease_s: float) -> None:
-        """Note that a call with a lease is about to be sent, or was decided on."""
+        """Extend a lease for a call that will be sent now or has been decided."""
         end_s = now_s + self.policy.get_lapse_s(lease_s)
         worker.granted_end_s = max(worker.granted_end_s, end_s)
         worker.lease_end_s = max(worker.lease_end_s, end_s)
 
     def end_inherited_lease(self, worker: FleetWorker, now_s: float) -> None:
-        """Note that a worker has answered a report that this owner asked for.
+        """Limit the lease of a worker that has answered a report request of this owner.
 
-        It has kept this owner's token, and no former owner can renew there any more.
+        The worker has stored this owner's fencing token, so no former owner can renew
+        the lease any more.
         """
         inherited_s = now_s + self.policy.lapse_s
         end_s = max(worker.granted_end_s, min(worker.lease_end_s, inherited_s))
         worker.lease_end_s = end_s
 
-    def _vacate(self, phase: Phase, task: Task) -> None:
+    def _free_room(self, phase: Phase, task: Task) -> None:
         worker = self.workers.get(task.worker)
         if task.is_on_worker and worker is not None:
             worker.tasks.discard(task.name)
             worker.give_back(phase.need)
         self.changed = True
 
-    def _note_served(self, phase: Phase, now_s: float) -> None:
-        """Begin a phase's wait anew, unless each of its tasks counts for itself."""
+    def _restart_wait(self, phase: Phase, now_s: float) -> None:
+        """Restart a phase's wait, but not that of long-running tasks still waiting."""
         if not (phase.spec.long_running and phase.has_waiting):
             phase.unserved_since_s = now_s
 
-    def _note_turns(self, phase: Phase, now_s: float) -> None:
-        """Remember since when phases wait whose turn has come by the end of another."""
+    def _start_dependent_waits(self, phase: Phase, now_s: float) -> None:
+        """Set the wait start of phases that depend on a phase that is done."""
         if not phase.is_done:
             return
         phase.unserved_since_s = now_s
@@ -460,7 +470,7 @@
             if phase.id.step in other.spec.depends_on:
                 other.unserved_since_s = max(now_s, other.due_s)
 
-    def _close_gang(self, phase: Phase, now_s: float) -> None:
+    def _stop_gang(self, phase: Phase, now_s: float) -> None:
         phase.closing = True
         for task in phase.tasks:
             self.stop(phase, task, now_s)
@@ -469,5 +479,5 @@
 
 
 def _format_places(tasks: list[Task]) -> str:
-    """Return INDEX.ATTEMPT@WORKER of every task."""
+    """Format tasks as INDEX.ATTEMPT@WORKER, separated by commas."""
     return ",".join(f"{task.index}.{task.attempt}@{task.worker}" for task in tasks)
--- a/src/larkhoist/fleet/task.py
+++ b/src/larkhoist/fleet/task.py
@@ -11,13 +11,14 @@
 __all__ = ["ActiveJob", "Phase", "Task", "TaskState", "create_phase"]
 
 CORES_PER_ACCELERATOR = 8
-"""How many cores one accelerator counts for in work; from the users' prices."""
+"""How many cores one accelerator is worth in the cost of work; the price ratio."""
 
 
 class TaskState(Enum):
-    """Name what is known of a task.
+    """Name the state of a task.
 
-    ``STARTING`` to ``STOPPING`` take room on a worker, since the task may run.
+    In ``STARTING``, ``RUNNING`` and ``STOPPING`` the task may run and takes room on a
+    worker.
     """
 
     WAITING = "waiting"
@@ -27,20 +28,21 @@
     DONE = "done"
 
 
-ON_WORKER = (TaskState.STARTING, TaskState.RUNNING, TaskState.STOPPING)
+ON_WORKER_STATES = (TaskState.STARTING, TaskState.RUNNING, TaskState.STOPPING)
 
 
 @dataclass(slots=True)
 class Task:
     """Hold one task; times are steady seconds.
 
-    From ``settled_s`` on no order given before can begin the attempt any more, so
-    that a report asked for later tells for certain whether it runs. ``seen_running``
-    tells that the worker itself has said that the attempt runs, to this owner,
-    ``seen_before`` that it has said so to a former one.
-    ``has_begun`` tells that any attempt has run; another owner takes each for begun.
-    ``lost`` counts the workers that were lost under it. ``worker_started_ms`` is the
-    start time of the worker incarnation that the attempt was assigned to, 0 if unknown.
+    From ``settled_s`` on, no start order can begin the attempt any more, so a report
+    that is requested later shows whether it runs. ``saved_s`` is when it started or
+    last saved a checkpoint. ``seen_running`` is set once the worker has confirmed to
+    this owner that the attempt runs, ``seen_before`` if it had confirmed it to a former
+    owner. ``has_begun`` is set if any attempt may have run; after a change of owners
+    that is every assigned one. ``lost`` counts the workers that were lost while they
+    ran the task. ``worker_started_ms`` is the start time of the worker incarnation that
+    the attempt was assigned to, 0 if unknown.
     """
 
     name: str
@@ -64,54 +66,56 @@
 
     @property
     def is_on_worker(self) -> bool:
-        """Tell whether the task may run somewhere."""
-        return self.state in ON_WORKER
+        """Tell whether the task may run on a worker."""
+        return self.state in ON_WORKER_STATES
 
     @property
     def was_seen(self) -> bool:
-        """Tell whether any owner has seen the attempt run."""
+        """Tell whether a worker has confirmed to any owner that the attempt runs."""
         return self.seen_running or self.seen_before
 
     def note_running(self) -> None:
-        """Note that the worker has said that the attempt runs."""
+        """Note that the worker has confirmed that the attempt runs."""
         self.seen_running = True
         self.has_begun = True
 
     def get_unsaved_s(self, now_s: float) -> float:
-        """Return how much work would be lost by a stop, in seconds."""
+        """Return the seconds of work since the start or the last checkpoint."""
         if self.state is not TaskState.RUNNING:
             return 0.0
         return max(0.0, now_s - max(self.began_s, self.saved_s))
 
 
 @dataclass(slots=True)
-class PeerTimes:
-    """Hold the mean time of the tasks of a step that are done, in seconds."""
+class MeanDuration:
+    """Hold the mean duration of the finished tasks of a step, in seconds."""
 
     count: int = 0
     mean_s: float = 0.0
 
     def note(self, took_s: float) -> None:
-        """Take the time of one more task."""
+        """Add the duration of a task."""
         self.count += 1
         self.mean_s += (took_s - self.mean_s) / self.count
 
 
 @dataclass(slots=True)
 class Phase:
-    """Hold one step of one run; a gang that is ``closing`` waits for its members.
+    """Hold one step of one run; times are steady seconds.
 
-    ``failed_attempt`` is the last attempt of a gang whose failure was counted.
+    A gang that is ``closing`` starts no tasks until all its members are off their
+    workers. ``failed_attempt`` is the last attempt of a gang whose failure was counted.
 
-    ``plan`` holds the workers whose room is kept while others stop there,
-    ``wait_reasons`` what was logged of why the phase waits. Until ``claim_again_s`` it
-    looks for no victims. ``peers`` holds how long its tasks took.
+    ``plan`` maps task indexes to the workers on which room is held while other tasks
+    stop there. ``wait_reasons`` holds the reasons that were logged for the wait, and
+    ``last_noted_s`` is when one was last logged. Until ``claim_again_s`` the phase
+    looks for no victims. ``peers`` is the mean duration of its finished tasks.
 
-    While tasks wait, ``unserved_since_s`` is since when none has started; neither a
-    failure nor a stop of others begins it anew, nor a start that was refused, for which
-    ``unserved_before_s`` keeps what it was, nor another owner. Once all are done it is
-    when. ``known_since_s`` is since when this owner knows the phase, ``noted_s`` when a
-    wait was last logged.
+    While tasks wait, ``unserved_since_s`` is the time since which none has started. It
+    isn't reset if a task fails or stops while others wait, or if the owner changes. If
+    a start is refused or never carried out, it is set back to
+    ``previous_unserved_since_s``. Once all tasks are done, it is the time when the last
+    one ended. ``known_since_s`` is when this owner added the phase.
     """
 
     id: PhaseId
@@ -120,15 +124,15 @@
     due_s: float
     waiting_since_s: float = 0.0
     unserved_since_s: float = 0.0
-    unserved_before_s: float = 0.0
+    previous_unserved_since_s: float = 0.0
     known_since_s: float = float("-inf")
     closing: bool = False
     failed_attempt: int = 0
     plan: dict[int, str] = field(default_factory=dict)
     wait_reasons: set[WaitReason] = field(default_factory=set)
-    noted_s: float = float("-inf")
+    last_noted_s: float = float("-inf")
     claim_again_s: float = float("-inf")
-    peers: PeerTimes = field(default_factory=PeerTimes)
+    peers: MeanDuration = field(default_factory=MeanDuration)
     need: Resources = field(init=False)
 
     def __post_init__(self):
@@ -136,22 +140,22 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether every task has ended as done."""
+        """Tell whether every task is done."""
         return all(task.state is TaskState.DONE for task in self.tasks)
 
     @property
     def is_off_workers(self) -> bool:
-        """Tell whether no task may run anywhere."""
+        """Tell whether no task may run on a worker."""
         return not any(task.is_on_worker for task in self.tasks)
 
     @property
     def has_waiting(self) -> bool:
-        """Tell whether a task waits, be the phase closing or not."""
+        """Tell whether a task waits, even if the phase is closing."""
         return any(task.state is TaskState.WAITING for task in self.tasks)
 
     @property
     def is_starting(self) -> bool:
-        """Tell whether starts of tasks are on their way."""
+        """Tell whether a task is starting."""
         return any(task.state is TaskState.STARTING for task in self.tasks)
 
     def get_waiting(self) -> list[Task]:
@@ -160,12 +164,12 @@
             return []
         waiting = [task for task in self.tasks if task.state is TaskState.WAITING]
         if self.spec.long_running:
-            # Others that end again and again must not come first each time.
+            # Tasks that keep ending must not be placed before the others each time.
             waiting.sort(key=lambda task: task.attempt)
         return waiting
 
     def count_taken(self) -> dict[str, int]:
-        """Return how many tasks may run on each worker, for the spread limit."""
+        """Return how many tasks may run on each worker, if there is a spread limit."""
         taken: dict[str, int] = {}
         if not self.spec.spread_limit:
             return taken
@@ -176,7 +180,7 @@
 
     @property
     def cores(self) -> float:
-        """Return what one task takes, an accelerator counted as several cores."""
+        """Return the cores of one task, with accelerators converted to cores."""
         return (
             self.spec.cpu_milli / 1000 + CORES_PER_ACCELERATOR * self.spec.accelerators
         )
@@ -187,14 +191,17 @@
         return self.cores * self.spec.estimate_ms / 1000 * len(self.tasks)
 
     def get_cost(self, tasks: list[Task], now_s: float, restore_s: float) -> float:
-        """Return what stopping ``tasks`` throws away, in core-seconds."""
+        """Return the work that is lost by stopping ``tasks``, in core-seconds.
+
+        Tasks that save checkpoints lose at most ``restore_s`` each.
+        """
         lost_s = [task.get_unsaved_s(now_s) for task in tasks]
         if self.spec.checkpoints:
-            lost_s = [min(one, restore_s) for one in lost_s]
+            lost_s = [min(seconds, restore_s) for seconds in lost_s]
         return self.cores * sum(lost_s)
 
     def make_progress(self, now_s: float, now_ms: int) -> PhaseProgress:
-        """Return what the log must keep; both times are the present one."""
+        """Return the progress for the log; both times are the current time."""
         return PhaseProgress(
             self.id,
             tuple(
@@ -212,20 +219,25 @@
                 for task in self.tasks
             ),
             self.failed_attempt,
-            now_ms - int(1000 * (now_s - self._get_handed_on_since_s())),
+            now_ms - int(1000 * (now_s - self._get_recorded_unserved_since_s())),
         )
 
-    def _get_handed_on_since_s(self) -> float:
-        """Return since when the phase waits if starts on their way never act."""
-        return self.unserved_before_s if self.is_starting else self.unserved_since_s
+    def _get_recorded_unserved_since_s(self) -> float:
+        """Return since when the phase waits if pending starts are never carried out."""
+        return (
+            self.previous_unserved_since_s
+            if self.is_starting
+            else self.unserved_since_s
+        )
 
 
 @dataclass(slots=True)
 class ActiveJob:
     """Hold one job that has not ended, or whose tasks still have to stop.
 
-    ``given_up`` tells that too many workers were lost under one of its tasks,
-    ``yielded_to`` for which other customer's job its guaranteed work was stopped.
+    ``firm`` is set if the job is covered by its customer's guarantee. ``given_up`` is
+    set if too many workers were lost under one of its tasks. ``yielded_to`` is the job
+    of another customer for which its guaranteed tasks were stopped.
     """
 
     job: StagedJob
@@ -239,12 +251,12 @@
 
     @property
     def priority(self) -> int:
-        """Return the priority, 0 being the most urgent."""
+        """Return the priority, 0 being the highest."""
         return self.job.terms.priority
 
     @property
     def is_out_of_attempts(self) -> bool:
-        """Tell whether a task that must end has failed as often as it may."""
+        """Tell whether a task that isn't long-running has failed too often."""
         return any(
             task.failures >= self.job.terms.max_attempts
             for phase in self.phases.values()
@@ -254,7 +266,7 @@
 
     @property
     def has_begun_whole(self) -> bool:
-        """Tell whether all tasks of the first run's first steps have begun."""
+        """Tell whether all tasks of the first run's initial steps have begun."""
         return all(
             task.has_begun
             for phase in self.get_phases(0)
@@ -267,7 +279,7 @@
         return [self.phases[(run, step)] for step in range(len(self.job.steps))]
 
     def is_ready(self, phase: Phase, now_s: float) -> bool:
-        """Tell whether the phase's turn has come."""
+        """Tell whether the phase is due and the steps it depends on are done."""
         if now_s < phase.due_s:
             return False
         run = phase.id.run
@@ -281,32 +293,32 @@
     due_s: float,
     progress: PhaseProgress | None = None,
 ) -> Phase:
-    """Return a phase as the log has it; nothing is known of it without progress."""
+    """Return a phase with its progress from the log, if there is any."""
     spec = job.steps[step]
     tasks = [
         Task(make_task_name(job.job_id, run, step, index), index)
         for index in range(spec.count)
     ]
     if progress is not None:
-        for task, kept in zip(tasks, progress.tasks, strict=False):
-            _restore(task, kept)
+        for task, recorded in zip(tasks, progress.tasks, strict=False):
+            _restore(task, recorded)
     phase = Phase(PhaseId(job.job_id, run, step), spec, tasks, due_s, due_s, due_s)
     if progress is not None:
         phase.failed_attempt = progress.failed_attempt
     return phase
 
 
-def _restore(task: Task, kept: TaskProgress) -> None:
-    task.attempt = kept.attempt
-    task.has_begun = kept.attempt > 0
-    task.failures = kept.failures
-    task.lost = kept.lost
-    task.checkpoint = kept.checkpoint
-    if kept.done:
+def _restore(task: Task, recorded: TaskProgress) -> None:
+    task.attempt = recorded.attempt
+    task.has_begun = recorded.attempt > 0
+    task.failures = recorded.failures
+    task.lost = recorded.lost
+    task.checkpoint = recorded.checkpoint
+    if recorded.done:
         task.state = TaskState.DONE
-    elif kept.worker:
+    elif recorded.worker:
         task.state = TaskState.RUNNING
-        task.worker = kept.worker
-        task.address = kept.address
-        task.worker_started_ms = kept.worker_started_ms
-        task.seen_before = kept.seen
+        task.worker = recorded.worker
+        task.address = recorded.address
+        task.worker_started_ms = recorded.worker_started_ms
+        task.seen_before = recorded.seen
--- a/src/larkhoist/fleet/wait_notes.py
+++ b/src/larkhoist/fleet/wait_notes.py
@@ -68,7 +68,7 @@
         if not event:
             return
         phase.wait_reasons.add(reason)
-        phase.noted_s = self._now_s
+        phase.last_noted_s = self._now_s
         self._state.note(
             event,
             job=phase.id.job_id,
@@ -91,7 +91,7 @@
         if reason not in phase.wait_reasons:
             return "waits"
         stands = self._now_s - phase.unserved_since_s >= STANDS_S
-        if not stands or self._now_s < phase.noted_s + STANDS_S:
+        if not stands or self._now_s < phase.last_noted_s + STANDS_S:
             return ""
         self._stands_left -= 1
         return STANDS if self._stands_left >= 0 else ""
