--- a/src/larkhoist/fleet/crashes.py
+++ b/src/larkhoist/fleet/crashes.py
@@ -1,8 +1,8 @@
-"""Count the workers that were lost under a task, and tell when it is given up.
+"""Count the workers that were lost while they ran a task, and give up such tasks.
 
-A worker that crashes lists no end of what it ran, so that its tasks are started again
-elsewhere. Work that itself crashes each worker would go on so for ever. Every worker
-that is lost under a task counts against that task, most where it is the likely cause.
+A worker that crashes lists no ends, so its tasks are started again elsewhere. A task
+that crashes its workers would repeat this for ever. Therefore each lost worker counts
+against the tasks it ran, and more against the one that most likely caused the crash.
 """
 
 from msgspec.structs import replace
@@ -26,63 +26,67 @@
     "note_start",
 ]
 
-MOST_BLAMED = 3
-"""So many crashes that a task most likely caused end it. The users allow two to do; but
-what merely ran beside such a task may well meet it twice (``APART_WAIT_S``)."""
-MANY_LOST = 3
-"""From so many lost workers on, the starts of a task are counted."""
-MOST_LATE_STARTS = 2
-"""How often a task is started at the most after the third lost worker, however those
-starts end; the users allow less than three."""
-LEAST_CRASHES = 2
-"""Without so many crashes a task is not given up for the number of its late starts."""
+MAX_BLAMED_CRASHES = 3
+"""A task is given up after this many crashes that it most likely caused. Two would be
+permitted, but a task that merely runs beside one that crashes its workers may meet it
+twice (see ``APART_WAIT_S``)."""
+LATE_START_MIN_LOST = 3
+"""Late starts are those of a task that has lost at least this many workers."""
+MAX_LATE_STARTS = 2
+"""The most starts of a task after the third lost worker, however those starts end.
+There must be fewer than three."""
+LATE_START_MIN_CRASHES = 2
+"""A task with fewer crashes isn't given up for the number of its late starts."""
 MOST_LOST = 5
-"""So many lost workers end a task. Work that meets five cut-off workers in its life is
-rarer than workers that come back only after their lease, of whose crash nothing ever
-tells."""
-LEAST_KNOWN = 2
-"""Under so many of them the task was seen to run, or was the only one that had just
-been started: other starts that were never answered may not have begun."""
-SURELY_BLAMED = 2
-"""What is blamed for so many more crashes caused this one as well."""
-NEWEST_S = 0.5
-"""What began on a worker so long before the newest task there is not blamed for its
-crash; a start that is answered at its second try takes 0.1 s more than others."""
-LEAVING_S = 10.0
-"""What began longer ago was there when its worker said that it leaves (2 s before) and
-is lost by that; what began later may as well have crashed it. Twice a silent call, a
-stop and such a notice."""
-STEADY_S = 60.0
-"""Work that lasts and has run for so long did not crash its worker; a guess, so that
-it costs one start a minute at the most."""
+"""A task is given up after this many lost workers, whether crashed or cut off. It is
+less likely that a task meets five cut-off workers than that its workers crash and come
+back only after the end of their lease, so that the crashes may never be known."""
+MIN_CONFIRMED_LOST = 2
+"""On this many of them the task must have been seen to run, or have been the only one
+that had just been started. Other starts that were never answered may not have begun."""
+DECISIVE_BLAME_LEAD = 2
+"""If a running task is blamed for this many more crashes than a task whose start wasn't
+answered, it is taken as the only cause."""
+NEWEST_WINDOW_S = 0.5
+"""A task that began more than this before the newest one on its worker isn't blamed for
+a crash. A start that is answered at its second try takes 0.1 s longer than others."""
+DEPARTURE_WINDOW_S = 10.0
+"""A task that began longer ago already ran when the worker announced its departure (2 s
+before), and was lost by that. A later one may also have crashed the worker. Twice the
+sum of an unanswered call, a stop and such a notice."""
+STABLE_RUN_S = 60.0
+"""A long-running task that has run for this long isn't blamed for a crash. If it does
+crash its workers, it costs at most one start a minute."""
 
 
 def count_losses(
     tasks: list[tuple[Phase, Task]], worker: FleetWorker, proof: Proof, now_s: float
 ) -> list[LostRun]:
-    """Count a worker that was lost against the tasks that ran or may have run there.
+    """Count a lost worker against the tasks that ran or may have run there.
 
-    It has crashed where another life took its place, most likely by what began last;
-    else it may have been cut off. One that left as it had said, with work from before,
-    counts for nothing.
+    If another incarnation took its place, the worker has crashed, and the tasks that
+    began last are blamed. Otherwise it may have been cut off. A worker that left as
+    announced isn't counted against tasks that began before the announcement.
 
-    Returns what was seen to run and may have crashed it.
+    Returns the tasks that were seen to run and may have crashed it.
     """
     newest_s = max((task.began_s for _, task in tasks), default=now_s)
-    newest = [task for _, task in tasks if task.began_s >= newest_s - NEWEST_S]
+    newest = [task for _, task in tasks if task.began_s >= newest_s - NEWEST_WINDOW_S]
     most_blamed = max((t.lost.blamed for _, t in tasks if t.seen_running), default=0)
     counted = []
     for phase, task in tasks:
         ran_s = now_s - task.began_s
-        if worker.has_left(now_s) and ran_s > LEAVING_S:
+        if worker.has_left(now_s) and ran_s > DEPARTURE_WINDOW_S:
             continue
-        if phase.spec.long_running and task.seen_running and ran_s > STEADY_S:
+        if phase.spec.long_running and task.seen_running and ran_s > STABLE_RUN_S:
             task.lost = LostWorkers()
             continue
         if _has_other_cause(task, proof, most_blamed):
             continue
-        is_known = task.was_seen or newest == [task]
-        counted.append((task, _add_loss(task, worker, proof, task in newest, is_known)))
+        is_confirmed = task.was_seen or newest == [task]
+        counted.append(
+            (task, _add_loss(task, worker, proof, task in newest, is_confirmed))
+        )
     for task, lost in counted:
         task.lost = lost
     if worker.leaving:
@@ -92,21 +96,21 @@
 
 
 def count_late_crash(task: Task, run: LostRun) -> None:
-    """Count a lost worker as crashed that counted as perhaps cut off."""
+    """Count as a crash a lost worker that was counted as perhaps cut off."""
     lost = task.lost
     if lost.unsure > lost.unseen:
         task.lost = _add_crash(replace(lost, unsure=lost.unsure - 1), run.is_newest)
 
 
 def _has_other_cause(task: Task, proof: Proof, most_blamed: int) -> bool:
-    """Tell whether a crash took a start before its answer, by what else ran there."""
+    """Tell whether another task crashed the worker before it answered the start."""
     if task.seen_running or isinstance(proof, LeaseOver):
         return False
-    return most_blamed >= task.lost.blamed + SURELY_BLAMED
+    return most_blamed >= task.lost.blamed + DECISIVE_BLAME_LEAD
 
 
 def _add_loss(
-    task: Task, worker: FleetWorker, proof: Proof, is_newest: bool, is_known: bool
+    task: Task, worker: FleetWorker, proof: Proof, is_newest: bool, is_confirmed: bool
 ) -> LostWorkers:
     lost = task.lost
     match proof:
@@ -115,7 +119,7 @@
         case WorkerRestarted(was_leaving) if task.seen_running and not was_leaving:
             return _add_crash(lost, is_newest)
         case WorkerReplaced() | WorkerRestarted() | LeaseOver():
-            unseen = lost.unseen + (not is_known)
+            unseen = lost.unseen + (not is_confirmed)
             return replace(lost, unsure=lost.unsure + 1, unseen=unseen)
         case _:
             return lost
@@ -126,24 +130,26 @@
 
 
 def note_start(task: Task) -> None:
-    """Count the start of a task under which many workers were lost."""
-    if task.lost.count >= MANY_LOST:
+    """Count a start as late if the task has lost many workers."""
+    if task.lost.count >= LATE_START_MIN_LOST:
         task.lost = replace(task.lost, late_starts=task.lost.late_starts + 1)
 
 
 def is_given_up(task: Task) -> bool:
-    """Tell whether so many workers were lost under a task that it is not run again."""
+    """Tell whether a task has lost so many workers that it is not run again."""
     lost = task.lost
-    if lost.blamed >= MOST_BLAMED:
+    if lost.blamed >= MAX_BLAMED_CRASHES:
         return True
-    if lost.count >= MOST_LOST and lost.count - lost.unseen >= LEAST_KNOWN:
+    if lost.count >= MOST_LOST and lost.count - lost.unseen >= MIN_CONFIRMED_LOST:
         return True
-    off_workers = task.state is TaskState.WAITING
-    used_up = lost.late_starts >= MOST_LATE_STARTS
-    return off_workers and used_up and lost.crashes >= LEAST_CRASHES
+    is_waiting = task.state is TaskState.WAITING
+    has_used_late_starts = lost.late_starts >= MAX_LATE_STARTS
+    return (
+        is_waiting and has_used_late_starts and lost.crashes >= LATE_START_MIN_CRASHES
+    )
 
 
 def has_given_up_task(active: ActiveJob) -> bool:
-    """Tell whether one of a job's tasks is not run again."""
+    """Tell whether one of a job's tasks is given up."""
     phases = active.phases.values()
     return any(is_given_up(task) for phase in phases for task in phase.tasks)
--- a/src/larkhoist/fleet/late_crashes.py
+++ b/src/larkhoist/fleet/late_crashes.py
@@ -1,7 +1,7 @@
-"""Count crashes that show only after the lease of a worker is over.
+"""Detect crashes that become known only after the lease of a worker is over.
 
-When a lease ends, nobody knows whether the worker crashed or was cut off. Another
-incarnation in its place tells later that it crashed.
+When a lease ends, it is unknown whether the worker crashed or was cut off. If another
+incarnation answers in its place later, it had crashed.
 """
 
 from dataclasses import dataclass
@@ -11,15 +11,15 @@
 
 __all__ = ["LateCrashes", "LostRun"]
 
-KEEP_S = 60.0
-"""A worker that comes back later tells little of what it ran."""
+RETENTION_S = 60.0
+"""How long a lost worker is remembered; a later return says little of its tasks."""
 
 
 @dataclass(frozen=True, slots=True)
 class LostRun:
     """Name a task that was seen to run on a lost worker.
 
-    ``is_newest`` tells that it was among the last ones that began there.
+    ``is_newest`` is set if it was among the tasks that began there last.
     """
 
     task: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LostWorker:
-    """Hold what ran on a worker whose lease was over at ``at_s`` (steady seconds)."""
+    """Hold what ran on a worker whose lease ended at ``at_s`` (steady seconds)."""
 
     address: str
     started_ms: int
@@ -37,33 +37,35 @@
 
 
 class LateCrashes:
-    """Hold the workers whose leases ended and of which nothing was heard since."""
+    """Hold the workers whose leases have ended and that have not answered since."""
 
     def __init__(self):
         self._workers: dict[str, _LostWorker] = {}
 
     def note(self, worker: FleetWorker, runs: list[LostRun], now_s: float) -> None:
-        """Remember what was lost, unless the worker had gone from the list before."""
+        """Add a lost worker, unless it left the list before it became silent."""
         self._workers = {
             name: lost
             for name, lost in self._workers.items()
-            if now_s < lost.at_s + KEEP_S
+            if now_s < lost.at_s + RETENTION_S
         }
-        if runs and not worker.has_gone_unsaid:
+        if runs and not worker.was_unlisted_before_silent:
             self._workers[worker.name] = _LostWorker(
                 worker.address, worker.incarnation.started_ms, tuple(runs), now_s
             )
 
     def drop(self, name: str) -> None:
-        """Forget a worker that has answered: it was cut off."""
+        """Remove a worker that has answered: it was only cut off."""
         self._workers.pop(name, None)
 
     def take(self, name: str, started_ms: int, address: str) -> tuple[LostRun, ...]:
-        """Return what crashed, by an incarnation that has come up at an address.
+        """Remove and return the tasks on workers that an incarnation shows as crashed.
 
-        ``started_ms`` is its start time in Unix milliseconds, 0 if unknown.
+        These are the workers of the same name with another start time, or of another
+        name at the same address. ``started_ms`` is the start time of the incarnation in
+        Unix milliseconds, 0 if unknown.
         """
-        found = [
+        matching = [
             other
             for other, lost in self._workers.items()
             if (
@@ -72,4 +74,4 @@
                 else lost.address and lost.address == address
             )
         ]
-        return tuple(run for other in found for run in self._workers.pop(other).runs)
+        return tuple(run for other in matching for run in self._workers.pop(other).runs)
--- a/src/larkhoist/fleet/proofs.py
+++ b/src/larkhoist/fleet/proofs.py
@@ -1,7 +1,7 @@
-"""State what may prove that an attempt of a task does not run any more.
+"""Define the proofs that an attempt of a task does not run any more.
 
-An attempt that may run keeps its room and its place until one of these is known;
-nothing else lets the scheduler start the task again.
+An attempt that may run keeps its room on its worker until there is one of these proofs.
+The scheduler starts the task again only then.
 """
 
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndListed:
-    """The worker listed how the attempt ended."""
+    """The worker listed the end of the attempt."""
 
     NAME: ClassVar[str] = "end_listed"
     kind: EndKind
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GangDone:
-    """Another member's listed end as done stands for the whole gang."""
+    """Another member of the gang was listed as done, so the whole gang is."""
 
     NAME: ClassVar[str] = "gang_done"
     member: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRefused:
-    """The worker refused the only try of the start, and has done nothing."""
+    """The worker refused the start, and no earlier try may have been carried out."""
 
     NAME: ClassVar[str] = "start_refused"
     code: Code
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NeverSent:
-    """The start was dropped before it was sent, or no connection took it."""
+    """The start was dropped before it was sent, or no connection could be made."""
 
     NAME: ClassVar[str] = "never_sent"
 
@@ -61,8 +61,8 @@
 class AbsentFromReport:
     """A report doesn't name the attempt.
 
-    It was asked for at ``asked_s``, after ``settled_s``, from when on no order could
-    begin the attempt any more; both are steady seconds.
+    It was requested at ``asked_s``, later than ``settled_s``, after which no order
+    could begin the attempt; both are steady seconds.
     """
 
     NAME: ClassVar[str] = "absent_from_report"
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseOver:
-    """The last lease that the worker may have is over since ``lease_end_s``."""
+    """The last lease that the worker may have ended at ``lease_end_s``."""
 
     NAME: ClassVar[str] = "lease_over"
     lease_end_s: float
@@ -113,7 +113,7 @@
 
 
 def describe_proof(proof: Proof, now_s: float) -> dict[str, object]:
-    """Return the inputs of the proof and their age in seconds, for the log."""
+    """Return the log fields of a proof; ages are in seconds."""
     match proof:
         case EndListed(kind):
             return {"how": kind.value}
--- a/src/larkhoist/fleet/reports.py
+++ b/src/larkhoist/fleet/reports.py
@@ -1,4 +1,4 @@
-"""Take what workers report and answer into the state."""
+"""Apply the reports and answers of workers to the state."""
 
 from larkhoist.codes import Code
 from larkhoist.fleet.crashes import count_losses
@@ -26,8 +26,8 @@
     "take_worker_gone",
 ]
 
-LEAST_PEERS = 3
-"""How many tasks of a step must have ended before another is compared with them."""
+MIN_PEERS = 3
+"""How many tasks of a step must be done before another is compared with their mean."""
 
 
 def take_report(
@@ -38,7 +38,7 @@
     now_s: float,
     now_ms: int,
 ) -> None:
-    """Take a worker's report that was asked for at ``asked_s``."""
+    """Process a worker's report that was requested at ``asked_s``."""
     present = {(task.task, task.attempt) for task in report.running}
     present |= {(ended.task, ended.attempt) for ended in report.ended}
     match worker.incarnation.compare(report.started_ms, asked_s):
@@ -49,7 +49,8 @@
         case _:
             state.late_crashes.drop(worker.name)
     worker.incarnation.record_answer(report.started_ms, now_s)
-    # By when the answer is taken: former owners may have renewed after it was asked.
+    # Counted from now and not from the request, since former owners may have renewed
+    # the lease in between.
     state.end_inherited_lease(worker, now_s)
     for ended in report.ended:
         if ended.number > worker.seen:
@@ -86,9 +87,10 @@
     now_s: float,
     detail: str = "",
 ) -> None:
-    """Take the answer to a start order; None means that the task has begun.
+    """Process the answer to a start order; a code of None means that it succeeded.
 
-    A refusal proves that nothing runs only where no earlier try may act.
+    A refusal proves that the attempt doesn't run only if no earlier try of the order
+    may still start it (``may_act``).
     """
     found = state.find_task(name, attempt)
     if found is None:
@@ -104,17 +106,17 @@
                 task.began_s = now_s
                 task.saved_s = now_s
         case Code.WORKER_SILENT if task.state is TaskState.RUNNING:
-            # A report has shown that it runs.
+            # A report has already shown that it runs.
             return
         case Code.WORKER_UNREACHABLE if not may_act:
             state.release(phase, task, NeverSent(), now_s)
         case Code.WORKER_SILENT | Code.FENCED:
-            # The order may still act: only a stop that is answered settles it, or
-            # that its lease is over, without which no worker begins it.
-            _settle_with_lease(state, task, now_s)
+            # The order may still be carried out, until a stop is answered or the lease
+            # is over, without which no worker starts a task.
+            _settle_at_lease_end(state, task, now_s)
             state.stop(phase, task, now_s)
         case _ if may_act:
-            _settle_with_lease(state, task, now_s)
+            _settle_at_lease_end(state, task, now_s)
             state.note(
                 "start-unsettled",
                 task=name,
@@ -128,7 +130,7 @@
             state.release(phase, task, StartRefused(code, detail), now_s)
 
 
-def _settle_with_lease(state: FleetState, task: Task, now_s: float) -> None:
+def _settle_at_lease_end(state: FleetState, task: Task, now_s: float) -> None:
     settled_s = now_s + state.policy.lapse_s
     task.settled_s = min(task.settled_s, settled_s)
 
@@ -136,16 +138,17 @@
 def _pause_worker(
     state: FleetState, worker: FleetWorker, code: Code, now_s: float
 ) -> None:
-    """Give a worker that refused a start no other one for a while.
+    """Send no starts for a while to a worker that refused one.
 
-    Starts that were under way together are refused together, and count once.
+    The pause doubles with each refusal in a row. Refusals during a pause don't extend
+    it, since starts sent at the same time are refused together.
     """
     if now_s < worker.paused_until_s:
         return
     policy = state.policy
     match code:
         case Code.ATTEMPT_TOO_OLD:
-            # The next attempt has a higher number.
+            # The next attempt has a higher number and isn't refused for this.
             return
         case _:
             pause_s = max(policy.refused_pause_s, 2 * worker.refused_pause_s)
@@ -155,7 +158,7 @@
 
 
 def take_stop_answer(state: FleetState, name: str, attempt: int, now_s: float) -> None:
-    """Take the answer to a stop order: the attempt can't begin any more."""
+    """Process the answer to a stop order: the attempt can't begin any more."""
     found = state.find_task(name, attempt)
     if found is not None:
         found[1].settled_s = min(found[1].settled_s, now_s)
@@ -164,7 +167,7 @@
 def take_worker_gone(
     state: FleetState, worker: FleetWorker, proof: Proof, now_s: float
 ) -> None:
-    """Note that nothing runs on a worker any more, as ``proof`` tells."""
+    """Release all tasks of a worker on which nothing runs, as ``proof`` shows."""
     tasks = state.list_tasks_on(worker)
     state.note(
         "worker-idle",
@@ -182,7 +185,7 @@
 
 
 def _note_ignored_end(state: FleetState, worker: FleetWorker, ended: EndedTask) -> None:
-    """Log the end of a current attempt that was ignored because of its number."""
+    """Log that the end of a current attempt was ignored because of its number."""
     state.note(
         "task-end-ignored",
         task=ended.task,
@@ -218,7 +221,7 @@
         case EndKind.FAILED:
             _take_failed(state, worker, phase, task, ended, now_s, now_ms)
         case _:
-            _keep_checkpoint(phase, task, ended.checkpoint)
+            _store_checkpoint(phase, task, ended.checkpoint)
             state.release(phase, task, EndListed(ended.kind), now_s)
 
 
@@ -233,7 +236,7 @@
     if phase.spec.long_running:
         state.release(phase, task, EndListed(EndKind.DONE), now_s)
         return
-    # One such end stands for the whole gang.
+    # One member that is done means that the whole gang is done.
     for member in phase.tasks if phase.spec.gang else [task]:
         proof = EndListed(EndKind.DONE) if member is task else GangDone(task.name)
         state.finish(phase, member, proof, now_s)
@@ -241,9 +244,9 @@
 
 
 def _note_speed(state, phase: Phase, worker: FleetWorker, took_s: float) -> None:
-    """Compare a task with those of its step that ended before, on other workers."""
+    """Update a worker's speed by comparing a task with earlier ones of its step."""
     factor = state.speeds.get_factor(worker.name)
-    if phase.peers.count >= LEAST_PEERS:
+    if phase.peers.count >= MIN_PEERS:
         state.speeds.note(worker.name, took_s, phase.peers.mean_s)
     phase.peers.note(took_s / factor)
 
@@ -260,7 +263,7 @@
     listed = sum(other.listed for other in state.workers.values())
     if state.quarantine.note_failure(worker.name, phase.id.job_id, listed, now_s):
         state.note("worker-quarantined", worker=worker.name)
-    _keep_checkpoint(phase, task, ended.checkpoint)
+    _store_checkpoint(phase, task, ended.checkpoint)
     state.release(phase, task, EndListed(ended.kind), now_s)
     if phase.spec.long_running or task.failures < job.job.terms.max_attempts:
         return
@@ -276,20 +279,20 @@
     phase, task = found
     if task.state is TaskState.STARTING:
         task.state = TaskState.RUNNING
-    # It has begun, and no attempt begins twice on one worker.
+    # It has begun, and a worker never begins the same attempt twice.
     state.note_running(phase, task)
     task.worker_started_ms = worker.incarnation.started_ms
     task.settled_s = min(task.settled_s, now_s)
     if running.checkpoint and running.checkpoint != task.checkpoint:
         task.saved_s = now_s
-        _keep_checkpoint(phase, task, running.checkpoint)
+        _store_checkpoint(phase, task, running.checkpoint)
 
 
 def _has_just_ended(state: FleetState, running: RunningTask) -> bool:
-    """Tell whether a gang's end, listed elsewhere, has overtaken this report.
+    """Tell whether another worker has listed the gang's end before this report.
 
-    Its members end by themselves; they were stopped 171 times beside 4,340 other stops
-    in one day of 270 workers.
+    The members of such a gang end by themselves. Stopping them cost 171 calls, beside
+    4,340 other stops, in one day of 270 workers.
     """
     found = state.find(running.task)
     if found is None:
@@ -305,16 +308,16 @@
         attempt=running.attempt,
         worker=worker.name,
     )
-    # Whatever lease it runs under, no worker's lease is longer than the longest.
+    # The lease of the stray is unknown, but can't exceed the longest one.
     state.extend_lease(worker, now_s, state.policy.lease_s)
     worker.strays[running.task] = running.attempt
     worker.strays_stopped_s = now_s
     state.round.stops.append(StopTask(worker.name, running.task, running.attempt))
 
 
-def _keep_checkpoint(phase: Phase, task: Task, checkpoint: str) -> None:
+def _store_checkpoint(phase: Phase, task: Task, checkpoint: str) -> None:
     if not checkpoint:
         return
-    # Any member's checkpoint is good for its gang, and all must bring the same.
+    # A checkpoint is valid for the whole gang, and all members must use the same one.
     for member in phase.tasks if phase.spec.gang else [task]:
         member.checkpoint = checkpoint
--- a/src/larkhoist/fleet/state.py
+++ b/src/larkhoist/fleet/state.py
@@ -318,7 +318,7 @@
         for name in phase.plan.values():
             worker = self.workers.get(name)
             if worker is not None:
-                worker.drop_hold(phase.need)
+                worker.release_hold(phase.need)
         phase.plan = {}
 
     def keep_plan(self, phase: Phase, places: dict[int, str]) -> None:
@@ -453,7 +453,7 @@
         worker = self.workers.get(task.worker)
         if task.is_on_worker and worker is not None:
             worker.tasks.discard(task.name)
-            worker.give_back(phase.need)
+            worker.release_room(phase.need)
         self.changed = True
 
     def _restart_wait(self, phase: Phase, now_s: float) -> None:
--- a/src/larkhoist/fleet/worker.py
+++ b/src/larkhoist/fleet/worker.py
@@ -1,4 +1,4 @@
-"""Hold one incarnation of a worker as the scheduler sees it."""
+"""Hold the scheduler's state of a worker."""
 
 from dataclasses import dataclass, field
 
@@ -10,17 +10,21 @@
 
 @dataclass(slots=True)
 class FleetWorker:
-    """Hold a worker's room and how much is known of it; times are steady seconds.
-
-    ``free`` is what neither runs nor is held for tasks that wait until others have
-    stopped; held room makes it negative while the others still run. After
-    ``lease_end_s`` nothing runs there unless a lease was renewed; ``granted_end_s`` is
-    the same for the leases of this owner alone. ``heard_s`` is when this owner made the
-    last call that was answered, ``silent_s`` when it fell silent.
-    ``unlisted_s`` is since when its entry is off the list, ``refused_pause_s`` how long
-    the last refusal in a row has paused it; ``strays`` holds the attempts by task that
-    its last report named and nobody wants. ``was_leaving`` is set if
-    its former incarnation had announced that it leaves.
+    """Hold the room, lease and condition of a worker; times are steady seconds.
+
+    ``free`` is the room that is neither used nor held for tasks that wait until others
+    have stopped. It is negative if held room is still used by those others. After
+    ``lease_end_s`` no task can run there, unless a lease is granted again;
+    ``granted_end_s`` covers the leases of this owner only. ``heard_s`` is when this
+    owner made the last call that was answered, ``silent_s`` when it made the one that
+    first got no answer.
+
+    ``unlisted_s`` is when the entry left the list, ``leaves_s`` the announced time of
+    departure, if known, and ``refused_pause_s`` the length of the last pause after a
+    refused start. ``seen`` is the number of the last end taken from its reports.
+    ``strays`` holds, by task, the attempts that its last report named and that are to
+    be stopped. ``was_leaving`` is set if its former incarnation had announced that it
+    leaves.
     """
 
     name: str
@@ -55,7 +59,7 @@
         self.free = self.capacity
 
     def take_entry(self, listed: ListedTaskWorker) -> None:
-        """Take over what the list tells of a worker that was known by name alone."""
+        """Set the attributes of a worker that was known by name only."""
         self.update_attributes(listed)
         self.capacity = listed.capacity
         self.free = self.capacity - self.used
@@ -87,48 +91,48 @@
         self.address = listed.address
 
     def resize(self, capacity: Resources) -> None:
-        """Take over another room; what runs there may be more than fits by now."""
+        """Set a new capacity; ``free`` becomes negative if the tasks exceed it."""
         self.free += capacity - self.capacity
         self.capacity = capacity
 
     def use(self, need: Resources) -> None:
-        """Take room for a task that may run."""
+        """Use room for a task that may run."""
         self.used += need
         self.free -= need
 
-    def give_back(self, need: Resources) -> None:
-        """Give back the room of a task that surely does not run."""
+    def release_room(self, need: Resources) -> None:
+        """Release the room of a task that is proved not to run."""
         self.used -= need
         self.free += need
 
     def hold(self, need: Resources) -> None:
-        """Keep room that others still use."""
+        """Hold room for a waiting task, even if other tasks still use it."""
         self.free -= need
 
-    def drop_hold(self, need: Resources) -> None:
-        """Give back room that was kept."""
+    def release_hold(self, need: Resources) -> None:
+        """Release held room."""
         self.free += need
 
     def is_departing(self, now_s: float, patience_s: float) -> bool:
-        """Tell whether the worker leaves or has been off the list for some time."""
+        """Tell whether the worker leaves or was unlisted over ``patience_s`` ago."""
         if self.leaving:
             return True
         return self.unlisted_s is not None and now_s > self.unlisted_s + patience_s
 
     @property
-    def has_gone_unsaid(self) -> bool:
-        """Tell whether its entry had gone before it fell silent, without a word."""
+    def was_unlisted_before_silent(self) -> bool:
+        """Tell whether its entry left the list before it became silent."""
         return self.unlisted_s is not None and self.unlisted_s < self.silent_s
 
     def has_left(self, now_s: float) -> bool:
-        """Tell whether the worker, known to be gone, served as long as it had said."""
+        """Tell whether a worker that is gone stayed until its announced departure."""
         if not self.leaving:
             return False
-        gone_s = self.silent_s if self.silent else now_s
-        return self.leaves_s is None or gone_s >= self.leaves_s
+        end_s = self.silent_s if self.silent else now_s
+        return self.leaves_s is None or end_s >= self.leaves_s
 
     def is_usable(self, now_s: float) -> bool:
-        """Tell whether new tasks may go there; what never answered gets none."""
+        """Tell whether new tasks may start there; it must have answered once."""
         return (
             self.listed
             and not self.leaving
