--- a/src/larkhoist/fleet/doubts.py
+++ b/src/larkhoist/fleet/doubts.py
@@ -1,42 +1,45 @@
-"""Tell when silent workers make a whole data hall doubtful.
+"""Detect data halls that may be cut off, by the number of silent workers.
 
-A hall that is cut off falls silent worker by worker, as calls to each run out of
-time. Work that is sent there meanwhile is stuck until leases lapse.
+In a hall that is cut off, the workers become silent one by one, as the calls to each of
+them time out. Tasks that are started there meanwhile are stuck until the leases lapse.
 """
 
 __all__ = ["HallDoubts"]
 
-SILENT_WORKERS = 3
-"""So many at nearly the same time are rarely a coincidence; a guess."""
+MIN_SILENT_WORKERS = 3
+"""So many workers rarely become silent within ``WINDOW_S`` by coincidence."""
 WINDOW_S = 2.0
-"""What counts as the same time: two time-outs of a call with a wait."""
+"""The time of two calls that time out, with the wait between them."""
 
 
 class HallDoubts:
-    """Remember since when halls are doubtful; times are steady seconds."""
+    """Hold since when halls are in doubt; times are steady seconds."""
 
     def __init__(self):
-        self._silent: dict[str, dict[str, float]] = {}
-        self._since_s: dict[str, float] = {}
+        self._silent_at_s: dict[str, dict[str, float]] = {}
+        self._doubtful_since_s: dict[str, float] = {}
 
     def note_silent(self, hall: str, worker: str, asked_s: float) -> bool:
-        """Take a call at ``asked_s`` without an answer.
+        """Note that a call to a worker at ``asked_s`` got no answer.
 
-        Returns whether the hall has just become doubtful.
+        Returns whether this puts the hall in doubt.
         """
         recent = {
             name: at_s
-            for name, at_s in self._silent.get(hall, {}).items()
+            for name, at_s in self._silent_at_s.get(hall, {}).items()
             if at_s > asked_s - WINDOW_S
         }
         recent[worker] = asked_s
-        self._silent[hall] = recent
-        since_s = self._since_s.get(hall, float("-inf"))
-        if len(recent) < SILENT_WORKERS or asked_s <= since_s + WINDOW_S:
+        self._silent_at_s[hall] = recent
+        since_s = self._doubtful_since_s.get(hall, float("-inf"))
+        if len(recent) < MIN_SILENT_WORKERS or asked_s <= since_s + WINDOW_S:
             return False
-        self._since_s[hall] = asked_s
+        self._doubtful_since_s[hall] = asked_s
         return True
 
     def covers(self, hall: str, heard_s: float) -> bool:
-        """Tell whether a worker whose last answer is of ``heard_s`` is in doubt."""
-        return heard_s < self._since_s.get(hall, float("-inf"))
+        """Tell whether a worker's last answer is older than the doubt about its hall.
+
+        ``heard_s`` is when the last call that it answered was made.
+        """
+        return heard_s < self._doubtful_since_s.get(hall, float("-inf"))
--- a/src/larkhoist/fleet/effects.py
+++ b/src/larkhoist/fleet/effects.py
@@ -1,4 +1,4 @@
-"""Hold what the scheduler of staged jobs asks its driver to do."""
+"""Hold the effects that the scheduler of staged jobs requests from its driver."""
 
 from dataclasses import dataclass, field
 
@@ -12,8 +12,8 @@
 class StartTask:
     """Start one attempt, once the round's records are on the log.
 
-    ``started_ms`` identifies the incarnation of the worker that it is meant for, 0 if
-    unknown.
+    ``started_ms`` is the start time of the worker incarnation that it is meant for, in
+    Unix milliseconds, 0 if unknown.
     """
 
     worker: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Say what was decided and by which inputs, for the logs."""
+    """Hold a log event with the decision and its inputs."""
 
     event: str
     fields: dict[str, object]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedJob:
-    """Name a job of which only the outcome has to be kept."""
+    """Name an ended job of which only the outcome is kept."""
 
     job_id: str
     phases: tuple[PhaseId, ...]
@@ -51,9 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SeenEnds:
-    """Hold the number of the last end that was taken from a worker.
+    """Hold the number of the last end that was processed from a worker's reports.
 
-    ``started_ms`` identifies the incarnation of the worker that numbered it.
+    ``started_ms`` is the start time of the worker incarnation that numbered it, in Unix
+    milliseconds.
     """
 
     started_ms: int
@@ -62,12 +63,12 @@
 
 @dataclass(slots=True)
 class Round:
-    """Hold what one call to ``decide`` asks for.
+    """Hold the effects of one call to ``decide``.
 
-    ``seen`` holds, by worker, the last end that ``records`` cover; it may be
-    acknowledged once they are on the log. ``probes`` names workers to be
-    asked at once whether they answer. ``ended`` names jobs none of whose tasks may
-    run any more. ``leases`` is what the log must keep of silent workers.
+    ``seen`` holds, by worker, the last end that ``records`` cover. It may be
+    acknowledged once they are on the log. ``probes`` names workers to call at once, to
+    test whether they answer. ``ended`` names jobs none of whose tasks may run any more.
+    ``leases`` is the note on silent workers for the log.
     """
 
     records: list[JobRecord] = field(default_factory=list)
@@ -81,7 +82,7 @@
 
     @property
     def has_effects(self) -> bool:
-        """Tell whether something goes to the log, or waits for what went before."""
+        """Tell whether the round has records, or effects that wait for earlier ones."""
         return bool(
             self.records or self.starts or self.seen or self.ended or self.leases
         )
--- a/src/larkhoist/fleet/handed_on_waits.py
+++ b/src/larkhoist/fleet/handed_on_waits.py
@@ -1,4 +1,4 @@
-"""Read from the log since when a step waits, for an owner that did not see it wait."""
+"""Restore since when a step waits from the progress that former owners recorded."""
 
 from collections.abc import Mapping
 
@@ -9,20 +9,23 @@
 
 
 def find_wait_start_ms(
-    job: StagedJob, phase: PhaseId, kept: Mapping[PhaseId, PhaseProgress]
+    job: StagedJob, phase: PhaseId, recorded: Mapping[PhaseId, PhaseProgress]
 ) -> int | None:
-    """Return since when a step waits (Unix milliseconds), None where nothing tells.
+    """Return since when a step waits, in Unix milliseconds, or None if it is unknown.
 
-    A step without progress of its own waits since the last of those before it was done,
-    the first ones since the job was submitted.
+    A step without recorded progress waits since the last of its dependencies was done,
+    or since the job was submitted if it has none.
     """
-    before = job.steps[phase.step].depends_on
-    if phase in kept:
-        told = [kept[phase]]
-    elif before:
-        told = [kept.get(PhaseId(phase.job_id, phase.run, step)) for step in before]
+    dependencies = job.steps[phase.step].depends_on
+    if phase in recorded:
+        progresses = [recorded[phase]]
+    elif dependencies:
+        progresses = [
+            recorded.get(PhaseId(phase.job_id, phase.run, step))
+            for step in dependencies
+        ]
     else:
         return job.submitted_ms
-    if any(progress is None or not progress.since_ms for progress in told):
+    if any(progress is None or not progress.since_ms for progress in progresses):
         return None
-    return max(progress.since_ms for progress in told)
+    return max(progress.since_ms for progress in progresses)
--- a/src/larkhoist/fleet/incarnation.py
+++ b/src/larkhoist/fleet/incarnation.py
@@ -7,7 +7,7 @@
 
 
 class IncarnationOrder(Enum):
-    """Name the order of an answer's incarnation relative to the known one."""
+    """Order the incarnation that sent an answer relative to the known one."""
 
     SAME = auto()
     LATER = auto()
@@ -19,7 +19,7 @@
     """Hold the start time of a worker's current incarnation.
 
     ``started_ms`` is in Unix milliseconds, 0 if unknown. ``heard_s`` is when its last
-    answer was taken, in steady seconds.
+    answer was processed, in steady seconds.
     """
 
     started_ms: int = 0
@@ -30,9 +30,9 @@
     ) -> IncarnationOrder:
         """Compare the incarnation that sent an answer with this one.
 
-        ``asked_s`` is when the answer was asked for. Answers can arrive out of order.
+        ``asked_s`` is when the answer was requested. Answers can arrive out of order.
         The wall clock can be set back between two starts, so an earlier start time is
-        accepted in an answer that was asked for after the last one was taken.
+        accepted in an answer that was requested after the last one was processed.
         """
         if not started_ms or not self.started_ms or started_ms == self.started_ms:
             return IncarnationOrder.SAME
--- a/src/larkhoist/fleet/restarts.py
+++ b/src/larkhoist/fleet/restarts.py
@@ -21,9 +21,9 @@
     """Discard the state of a worker's former incarnation.
 
     ``present`` holds the attempts, as (task, attempt), that the later incarnation has
-    reported. The others are over once a report that is asked for from now on lacks
-    them: its call carries a higher token, after which the worker refuses all earlier
-    calls.
+    reported. The others are over once a report that is requested from now on lacks
+    them: that request carries a higher fencing token, after which the worker refuses
+    all earlier calls.
     """
     tasks = [
         (phase, task)
@@ -41,7 +41,7 @@
     )
     for phase, task in tasks:
         if task.state is TaskState.STARTING:
-            # The start may yet be sent with the higher token: only a stop settles it.
+            # The start may still be sent with the higher token, so it must be stopped.
             state.stop(phase, task, now_s)
         else:
             task.settled_s = now_s
--- a/src/larkhoist/fleet/stop_costs.py
+++ b/src/larkhoist/fleet/stop_costs.py
@@ -1,4 +1,4 @@
-"""Work out what room on one worker costs: whom to stop there for each further task."""
+"""Compute which victims to stop on a worker for each further task, and their cost."""
 
 from collections import deque
 
@@ -11,10 +11,10 @@
 
 
 class LocalVictim(msgspec.Struct, frozen=True, gc=False, eq=False):
-    """Hold a victim as one worker sees it.
+    """Hold the part of a victim that runs on one worker.
 
-    ``gain`` is the room that its tasks take there, ``cost`` their part of its cost,
-    in core-seconds.
+    ``gain`` is the room that its tasks use there, ``cost`` their share of the victim's
+    cost in core-seconds.
     """
 
     victim: Victim
@@ -23,54 +23,61 @@
 
 
 class Slot(msgspec.Struct, frozen=True):
-    """Hold the victims whose stop makes room for one more task, and their cost."""
+    """Hold the victims to stop to make room for one more task, and their cost."""
 
     cost: float
     victims: tuple[Victim, ...]
 
 
-NO_STOP = Slot(0.0, ())
+FREE_SLOT = Slot(0.0, ())
 
 
 def make_local(victim: Victim, worker: str) -> LocalVictim:
-    """Return a victim as ``worker`` sees it."""
-    here = sum(task.worker == worker for task in victim.tasks)
+    """Return the part of a victim that runs on ``worker``."""
+    task_count = sum(task.worker == worker for task in victim.tasks)
     gain = victim.phase.need
-    if here > 1:
-        gain = gain.scale(here)
-    return LocalVictim(victim, gain, victim.cost * here / len(victim.tasks))
+    if task_count > 1:
+        gain = gain.scale(task_count)
+    return LocalVictim(victim, gain, victim.cost * task_count / len(victim.tasks))
 
 
 def list_slots(
     free: Resources, need: Resources, victims: list[LocalVictim]
 ) -> tuple[Slot, ...]:
-    """Return a slot for each task that ``free`` and the victims have room for.
+    """Return a slot for each task that fits into ``free`` and the victims' room.
 
-    Victims that cost the least for what the worker lacks go first; one that turns out
-    needless for a slot is left for later ones.
+    Victims with the lowest cost for the share of the lacking room that they free come
+    first. A victim that a slot turns out not to need is used for later slots.
     """
-    slots = [NO_STOP] * free.count_fitting(need)
+    slots = [FREE_SLOT] * free.count_fitting(need)
     lacking = need - free
-    ranked = sorted(victims, key=lambda one: one.cost / _weigh(one.gain, lacking))
-    waiting = deque(ranked)
+    ranked = sorted(
+        victims,
+        key=lambda candidate: (
+            candidate.cost / _get_freed_share(candidate.gain, lacking)
+        ),
+    )
+    remaining = deque(ranked)
     room = free
     added: list[LocalVictim] = []
-    while waiting:
-        local = waiting.popleft()
+    while remaining:
+        local = remaining.popleft()
         added.append(local)
         room += local.gain
         while room.count_fitting(need) > len(slots):
-            kept, room = _drop_needless(added, room, need, len(slots) + 1)
-            cost = sum([one.cost for one in kept])
-            slots.append(Slot(cost, tuple([one.victim for one in kept])))
+            kept, room = _drop_unneeded(added, room, need, len(slots) + 1)
+            cost = sum([candidate.cost for candidate in kept])
+            slots.append(Slot(cost, tuple([candidate.victim for candidate in kept])))
             if len(kept) < len(added):
-                waiting.extend(one for one in added if one not in kept)
+                remaining.extend(
+                    candidate for candidate in added if candidate not in kept
+                )
             added = []
     return tuple(slots)
 
 
-def _weigh(gain: Resources, lacking: Resources) -> float:
-    """Return which part of what is lacking a stop frees, of what it frees the most."""
+def _get_freed_share(gain: Resources, lacking: Resources) -> float:
+    """Return the largest share of a lacking resource in ``gain``, from 0.001 to 1."""
     share = 1e-3
     if lacking.accelerators > 0:
         share = max(share, gain.accelerators / lacking.accelerators)
@@ -81,16 +88,16 @@
     return min(share, 1.0)
 
 
-def _drop_needless(
+def _drop_unneeded(
     added: list[LocalVictim], room: Resources, need: Resources, slots: int
 ) -> tuple[list[LocalVictim], Resources]:
-    """Keep of the victims of a slot those that it does not do without."""
+    """Drop the victims that a slot does not need, those of the highest cost first."""
     kept = list(added)
     if len(kept) == 1:
         return kept, room
-    for local in sorted(added, key=lambda one: -one.cost):
-        less = room - local.gain
-        if less.count_fitting(need) >= slots:
-            room = less
+    for local in sorted(added, key=lambda candidate: -candidate.cost):
+        room_without = room - local.gain
+        if room_without.count_fitting(need) >= slots:
+            room = room_without
             kept.remove(local)
     return kept, room
--- a/src/larkhoist/fleet/wait_notes.py
+++ b/src/larkhoist/fleet/wait_notes.py
@@ -1,4 +1,4 @@
-"""Log why phases wait, with what tells one reason from another."""
+"""Log why phases wait, with the numbers that explain each reason."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -15,19 +15,21 @@
 __all__ = ["STANDS_S", "WaitNotes"]
 
 STANDS_S = 3.0
-"""After this time without the start of a task a phase is logged again, and each time
-it has passed once more; the users allow no longer where there is room."""
-STANDS = "stands"
-MOST_STANDS = 8
-"""How many such lines one decision writes, the others later: all 391 phases that stood
-still on 270 workers made it take 339 ms."""
+"""A phase that waits for this long without the start of a task is logged again, and
+then once per such interval. Where there is room, a task must start within this time."""
+STALL_EVENT = "stands"
+MAX_STALL_NOTES = 8
+"""The most such log lines in one decision; the others follow in later ones. With lines
+for all of 391 waiting phases on 270 workers, a decision took 339 ms."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Look:
-    """Hold the room of the workers that may run a step, in numbers of its tasks.
+class _RoomCounts:
+    """Hold the room on workers that may run a step, as numbers of its tasks.
 
-    ``by_rack`` counts that of ``usable`` workers; ``excluded`` is for the log.
+    ``by_rack`` counts the room on ``usable`` workers, ``held_out`` that on responsive
+    workers that get no new tasks, and ``silent`` that on workers whose last call was
+    not answered. ``excluded`` is formatted for the log.
     """
 
     usable: list[FleetWorker]
@@ -38,15 +40,15 @@
 
 
 class WaitNotes:
-    """Have it logged in one pass why phases wait."""
+    """Log why phases wait, within one placement pass."""
 
     def __init__(self, state: FleetState, used_share: float, now_s: float):
         self._state = state
         self._now_s = now_s
         self._used_share = round(used_share, 3)
-        self._looks: dict[tuple, _Look] = {}
-        self._uses: dict[str, str] | None = None
-        self._stands_left = MOST_STANDS
+        self._room_counts: dict[tuple, _RoomCounts] = {}
+        self._service_uses: dict[str, str] | None = None
+        self._stall_notes_left = MAX_STALL_NOTES
 
     def note(
         self,
@@ -57,12 +59,13 @@
         borrowable: int,
         kept_for_urgent: int,
     ) -> None:
-        """Log the reason once for each wait, and again while the phase stands still.
+        """Log the reason once for each wait, and again while no task starts.
 
-        Only then room is counted, since that looks at every worker.
+        Only the repeated lines count the room, since that visits every worker.
 
-        ``workers`` are those that it may go to now, ``borrowable`` the accelerators
-        that guarantees leave, ``kept_for_urgent`` those kept for urgent work.
+        ``workers`` are those on which the phase may start now. ``borrowable`` is the
+        number of accelerators not needed for guarantees, ``kept_for_urgent`` the number
+        kept for urgent tasks.
         """
         event = self._choose_event(phase, reason)
         if not event:
@@ -84,46 +87,42 @@
             kept_for_urgent=kept_for_urgent,
             used_share=self._used_share,
             reserved_workers=len(self._state.reservations),
-            **(self._describe_stand(phase) if event == STANDS else {}),
+            **(self._describe_stall(phase) if event == STALL_EVENT else {}),
         )
 
     def _choose_event(self, phase: Phase, reason: WaitReason) -> str:
         if reason not in phase.wait_reasons:
             return "waits"
-        stands = self._now_s - phase.unserved_since_s >= STANDS_S
-        if not stands or self._now_s < phase.last_noted_s + STANDS_S:
+        is_stalled = self._now_s - phase.unserved_since_s >= STANDS_S
+        if not is_stalled or self._now_s < phase.last_noted_s + STANDS_S:
             return ""
-        self._stands_left -= 1
-        return STANDS if self._stands_left >= 0 else ""
+        self._stall_notes_left -= 1
+        return STALL_EVENT if self._stall_notes_left >= 0 else ""
 
-    def _describe_stand(self, phase: Phase) -> dict[str, object]:
-        """Return what tells why a phase stands that has waited for long.
-
-        ``held_out`` is the room on responsive workers that get no new work, ``silent``
-        the room on workers whose last call was not answered.
-        """
+    def _describe_stall(self, phase: Phase) -> dict[str, object]:
+        """Return the log fields that explain why a phase still waits."""
         service = self._state.jobs[phase.id.job_id].job.terms.service
-        look = self._get_look(phase, service)
+        counts = self._get_room_counts(phase, service)
         return {
-            "room_for": look.by_rack.total(),
-            "held_out": look.held_out,
-            "silent": look.silent,
-            "limited_room_for": self._count_limited_room(phase, look),
-            "rack_room_for": _get_rack_room(phase, look),
+            "room_for": counts.by_rack.total(),
+            "held_out": counts.held_out,
+            "silent": counts.silent,
+            "limited_room_for": self._count_limited_room(phase, counts),
+            "rack_room_for": _get_rack_room(phase, counts),
             "done": sum(task.state is TaskState.DONE for task in phase.tasks),
             "on_workers": sum(task.is_on_worker for task in phase.tasks),
-            "excluded": look.excluded,
-            "service_used": self._get_use(service),
+            "excluded": counts.excluded,
+            "service_used": self._get_service_use(service),
         }
 
-    def _get_look(self, phase: Phase, service: str) -> _Look:
-        """Return the room for what a phase needs, counted once in a pass."""
+    def _get_room_counts(self, phase: Phase, service: str) -> _RoomCounts:
+        """Return the room for tasks like those of a phase, counted once per pass."""
         key = (service, phase.spec.label, phase.need)
-        if key not in self._looks:
-            self._looks[key] = self._look_anew(phase, service)
-        return self._looks[key]
+        if key not in self._room_counts:
+            self._room_counts[key] = self._count_room(phase, service)
+        return self._room_counts[key]
 
-    def _look_anew(self, phase: Phase, service: str) -> _Look:
+    def _count_room(self, phase: Phase, service: str) -> _RoomCounts:
         state, now_s = self._state, self._now_s
         workers = list_eligible(state.workers.values(), service, phase.spec)
         usable: list[FleetWorker] = []
@@ -139,32 +138,34 @@
             elif worker.listed and not worker.leaving:
                 silent += fitting
         excluded = format_exclusions(count_exclusions(state, workers, now_s))
-        return _Look(usable, by_rack, held_out, silent, excluded)
+        return _RoomCounts(usable, by_rack, held_out, silent, excluded)
 
-    def _count_limited_room(self, phase: Phase, look: _Look) -> int:
+    def _count_limited_room(self, phase: Phase, counts: _RoomCounts) -> int:
         """Return the room on usable workers within the step's spread limit."""
         need, limit = phase.need, phase.spec.spread_limit
         if not limit:
-            return look.by_rack.total()
+            return counts.by_rack.total()
         taken = phase.count_taken()
         return sum(
             count_fitting(worker.free, need, limit, taken.get(worker.name, 0))
-            for worker in look.usable
+            for worker in counts.usable
         )
 
-    def _get_use(self, service: str) -> str:
-        """Return the used shares of processor, memory and accelerators."""
-        if self._uses is None:
+    def _get_service_use(self, service: str) -> str:
+        """Format the used shares of a service's cores, memory and accelerators."""
+        if self._service_uses is None:
             rooms = count_service_rooms(self._state)
-            self._uses = {name: _format_use(room) for name, room in rooms.items()}
-        return self._uses.get(service, _format_use(ServiceRoom()))
+            self._service_uses = {
+                name: _format_use(room) for name, room in rooms.items()
+            }
+        return self._service_uses.get(service, _format_use(ServiceRoom()))
 
 
-def _get_rack_room(phase: Phase, look: _Look) -> int:
-    """Return the most room in one rack, or in that of the step's data."""
+def _get_rack_room(phase: Phase, counts: _RoomCounts) -> int:
+    """Return the room in the rack of the step's data, or else the most in one rack."""
     if phase.spec.data_rack:
-        return look.by_rack[phase.spec.data_rack]
-    return max(look.by_rack.values(), default=0)
+        return counts.by_rack[phase.spec.data_rack]
+    return max(counts.by_rack.values(), default=0)
 
 
 def _format_use(room: ServiceRoom) -> str:
--- a/src/larkhoist/fleet/waits.py
+++ b/src/larkhoist/fleet/waits.py
@@ -1,4 +1,4 @@
-"""Name the reasons for which a phase waits."""
+"""Define the reasons why a phase waits."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class WaitReason(Enum):
-    """Name why tasks of a phase whose turn has come do not start."""
+    """Name why the tasks of a phase that is ready do not start."""
 
     NO_WORKER = "no worker may run it"
     NO_ROOM = "too little room"
