--- a/src/larkhoist/fleet/crashes.py
+++ b/src/larkhoist/fleet/crashes.py
@@ -55,8 +55,9 @@
 before), and was lost by that. A later one may also have crashed the worker. Twice the
 sum of an unanswered call, a stop and such a notice."""
 STABLE_RUN_S = 60.0
-"""A long-running task that has run for this long isn't blamed for a crash. If it does
-crash its workers, it costs at most one start a minute."""
+"""A long-running task that has run for this long isn't blamed for a crash, and its
+count of lost workers is reset. If it does crash its workers, it costs at most one start
+a minute."""
 
 
 def count_losses(
--- a/src/larkhoist/fleet/proofs.py
+++ b/src/larkhoist/fleet/proofs.py
@@ -1,7 +1,7 @@
 """Define the proofs that an attempt of a task does not run any more.
 
 An attempt that may run keeps its room on its worker until there is one of these proofs.
-The scheduler starts the task again only then.
+Only then does the scheduler start the task again.
 """
 
 from dataclasses import dataclass
--- a/src/larkhoist/fleet/reports.py
+++ b/src/larkhoist/fleet/reports.py
@@ -140,8 +140,8 @@
 ) -> None:
     """Send no starts for a while to a worker that refused one.
 
-    The pause doubles with each refusal in a row. Refusals during a pause don't extend
-    it, since starts sent at the same time are refused together.
+    The pause doubles with each refusal in a row, up to a limit. Refusals during a pause
+    don't extend it, since starts sent at the same time are refused together.
     """
     if now_s < worker.paused_until_s:
         return
--- a/src/larkhoist/fleet/scheduler.py
+++ b/src/larkhoist/fleet/scheduler.py
@@ -290,7 +290,7 @@
         return min(due, default=float("inf"))
 
     def list_unserved_s(self, now_s: float) -> list[float]:
-        """Return the seconds since the last start of a task, for each waiting step."""
+        """Return for how many seconds each step with waiting tasks has started none."""
         return [
             now_s - phase.unserved_since_s
             for active, phase in self.state.iter_phases()
--- a/src/larkhoist/fleet/state.py
+++ b/src/larkhoist/fleet/state.py
@@ -74,11 +74,11 @@
         active = ActiveJob(job, now_s + (job.submitted_ms - now_ms) / 1000)
         active.ended = entry.outcome is not None
         active.begun = entry.begun
-        kept = {(p.run, p.step): value for p, value in entry.phases.items()}
+        progress_by_step = {(p.run, p.step): value for p, value in entry.phases.items()}
         for run in range(job.run_count):
             due_s = now_s + (job.get_due_ms(run) - now_ms) / 1000
             for step in range(len(job.steps)):
-                progress = kept.get((run, step))
+                progress = progress_by_step.get((run, step))
                 phase = create_phase(job, run, step, due_s, progress)
                 active.phases[(run, step)] = phase
                 self._index_phase(phase, now_s)
@@ -212,7 +212,7 @@
                 )
             )
         self._restart_wait(phase, now_s)
-        self.touch(phase)
+        self.mark_dirty(phase)
         if not active.begun:
             active.begun = True
             self.round.records.append(JobBegun(phase.id.job_id))
@@ -263,7 +263,7 @@
         task.checkpoint = ""
         self.suspects.discard(task.name)
         self._start_dependent_waits(phase, now_s)
-        self.touch(phase)
+        self.mark_dirty(phase)
 
     def release(self, phase: Phase, task: Task, proof: Proof, now_s: float) -> None:
         """Set a task to waiting, since ``proof`` shows that its attempt is over."""
@@ -282,7 +282,7 @@
         task.state = TaskState.WAITING
         self._update_suspect(phase, task)
         phase.waiting_since_s = now_s
-        self.touch(phase)
+        self.mark_dirty(phase)
         if phase.spec.gang:
             self._stop_gang(phase, now_s)
 
@@ -304,10 +304,10 @@
                 unsure=task.lost.unsure,
             )
             self._update_suspect(phase, task)
-            self.touch(phase)
+            self.mark_dirty(phase)
 
     def note_running(self, phase: Phase, task: Task) -> None:
-        """Note that the worker has said that an attempt runs."""
+        """Note that the worker has confirmed that an attempt runs."""
         if task.lost.count and not task.was_seen:
             # Otherwise the next owner could not tell whether the start was carried out.
             self._dirty_phases[id(phase)] = phase
@@ -327,7 +327,7 @@
         for name in places.values():
             self.workers[name].hold(phase.need)
 
-    def touch(self, phase: Phase) -> None:
+    def mark_dirty(self, phase: Phase) -> None:
         """Mark the phase's progress to be appended to the log."""
         self._dirty_phases[id(phase)] = phase
         self.changed = True
--- a/src/larkhoist/fleet/task.py
+++ b/src/larkhoist/fleet/task.py
@@ -11,7 +11,7 @@
 __all__ = ["ActiveJob", "Phase", "Task", "TaskState", "create_phase"]
 
 CORES_PER_ACCELERATOR = 8
-"""How many cores one accelerator is worth in the cost of work; the price ratio."""
+"""How many cores one accelerator counts for in the cost of work, by their prices."""
 
 
 class TaskState(Enum):
