--- a/tests/fleet/cordons.py
+++ b/tests/fleet/cordons.py
@@ -2,7 +2,7 @@
 
 import random
 
-from tests.fleet.checks import CONTACT_S
+from tests.fleet.checks import OWNER_SETTLE_S
 from tests.fleet.machine import FleetMachine
 
 __all__ = ["CordonCheck", "CordonDrawer"]
@@ -51,7 +51,9 @@
             for run in worker.runs.values():
                 if run.began_s <= since_s + CORDON_S:
                     continue
-                in_touch = run.began_s >= machine.term_began_s[run.term] + CONTACT_S
+                in_touch = (
+                    run.began_s >= machine.term_began_s[run.term] + OWNER_SETTLE_S
+                )
                 begun = in_touch and not run.late
                 assert not begun, f"{run.task} began in {worker.hall}, cordoned"
 
--- a/tests/fleet/disturbances.py
+++ b/tests/fleet/disturbances.py
@@ -2,7 +2,7 @@
 
 import random
 
-from tests.fleet.machine import LATE_S, FleetMachine
+from tests.fleet.machine import ORDER_DELAYS_S, FleetMachine
 from tests.fleet.sim_worker import SimWorker
 
 __all__ = ["Disturber"]
@@ -57,8 +57,8 @@
         machine = self._machine
         self._often = 0.0
         machine.cut.clear()
-        machine.lags_s.clear()
-        machine.lose_answers = machine.slow_answers = machine.list_lag_s = 0.0
+        machine.order_delay_s.clear()
+        machine.lose_answers = machine.slow_answer_share = machine.list_lag_s = 0.0
         machine.log_down = False
         self._unlisted_s = {}
         for worker in list(machine.world.workers.values()):
@@ -93,13 +93,15 @@
             case 4 | 5 | 6:
                 machine.cut.clear()
             case 19 | 20:
-                machine.lags_s[worker.address] = chance.choice(LATE_S[1:])
+                machine.order_delay_s[worker.address] = chance.choice(
+                    ORDER_DELAYS_S[1:]
+                )
             case 21 | 22:
-                machine.lags_s.clear()
+                machine.order_delay_s.clear()
             case 7 | 8:
                 machine.lose_answers = chance.choice((0.0, 0.0, 0.1, 0.5))
             case 9:
-                machine.slow_answers = chance.choice((0.0, 0.2, 0.8))
+                machine.slow_answer_share = chance.choice((0.0, 0.2, 0.8))
             case 10:
                 self._switch_log()
             case 11:
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -1,10 +1,10 @@
-"""Drive the scheduler against simulated workers on a passed clock.
+"""Drive the scheduler against simulated workers on a simulated clock.
 
-Calls are lost, delayed, refused and carried out late, and answers overtake one
-another; owners are replaced at any step, with rounds that never reached the log or
-reached one stream alone; workers fall silent, leave, die and come up anew at the same
-address; the list is read late. Sessions and steps are those of ``WorkerSession`` and
-``FleetOwner``.
+Calls are lost, delayed, refused or executed late, and answers arrive out of order.
+Owners are replaced at any step; their last rounds may have reached both log streams,
+only one or none. Workers stop answering, leave, crash and restart at the same address,
+and the list of workers is read with a delay. The sessions and steps reproduce those of
+``WorkerSession`` and ``FleetOwner``.
 """
 
 import random
@@ -50,38 +50,39 @@
     make_listed,
 )
 
-__all__ = ["LATE_S", "FleetMachine"]
+__all__ = ["ORDER_DELAYS_S", "FleetMachine"]
 
 STEP_S = 0.1
-ASK_S = 0.5
+REPORT_INTERVAL_S = 0.5
 CALL_TIMEOUT_S = 0.7
-"""After this time a call counts as without an answer, as in the worker's client."""
-SILENT_PAUSE_S = 0.4
+"""Time without an answer after which a call fails, as in the worker's client."""
+SILENT_RETRY_S = 0.4
 START_TRIES = 2
-START_PAUSE_S = 0.1
-STUCK_S = 1.0
+START_RETRY_S = 0.1
+LOG_STALL_LIMIT_S = 1.0
 PREDECESSOR_S = 1.0
+"""Time for which a replaced owner may still renew leases."""
 UNANSWERED = (Code.WORKER_SILENT, Code.WORKER_UNREACHABLE)
-RENEWAL_S = 0.3
+TOKEN_INTERVAL_S = 0.3
 """Interval at which an owner's token increases."""
-LATE_S = (0.0, 0.3, 2.0, 6.0, 12.0)
-"""How much later an order without an answer may be carried out."""
+ORDER_DELAYS_S = (0.0, 0.3, 2.0, 6.0, 12.0)
+"""Delays after which an order without an answer may still be executed."""
 
 Order = StartOrder | StopOrder | LeaseCall
 
 
 @dataclass(slots=True)
 class _Session:
-    """Hold what a session knows of its worker, as ``WorkerSession`` does."""
+    """State of an owner's session with one worker, as in ``WorkerSession``."""
 
     worker: str
     address: str
     clock: WorkerClock
     busy: bool = True
     silent: bool = False
-    woken: bool = True
-    asking: bool = False
-    ask_from_s: float = float("-inf")
+    report_due: bool = True
+    awaiting_report: bool = False
+    next_report_s: float = float("-inf")
     acknowledged: int = 0
     sent_acknowledgement: int = 0
     to_acknowledge: int = 0
@@ -91,7 +92,7 @@
     incarnation: Incarnation = field(default_factory=Incarnation)
 
     def update_incarnation(self, started_ms: int) -> None:
-        """Apply the start time from the list of workers."""
+        """Apply a start time from the list of workers."""
         match self.incarnation.compare(started_ms):
             case IncarnationOrder.LATER:
                 self.begin_incarnation(started_ms, float("-inf"))
@@ -99,30 +100,33 @@
                 self.incarnation.started_ms = started_ms
 
     def begin_incarnation(self, started_ms: int, now_s: float) -> None:
-        """Discard the clock and the end numbers of the former incarnation."""
+        """Discard the clock and the end numbers of the previous incarnation."""
         self.incarnation = Incarnation(started_ms, now_s)
         self.clock = WorkerClock()
         self.acknowledged = self.to_acknowledge = 0
-        self.needs_higher_token = self.woken = True
+        self.needs_higher_token = self.report_due = True
 
 
 @dataclass(slots=True)
 class _Owner:
-    """Hold an owner's scheduler, sessions, inbox and rounds on their way."""
+    """An owner with its scheduler, sessions, inbox and uncommitted rounds."""
 
     term: int
     scheduler: FleetScheduler
     sessions: dict[str, _Session] = field(default_factory=dict)
     inbox: list[Message] = field(default_factory=list)
     uncommitted: list[Round] = field(default_factory=list)
-    stuck_since_s: float | None = None
+    log_stalled_since_s: float | None = None
     renews_until_s: float = float("inf")
     fenced: bool = False
 
 
 @dataclass(slots=True)
 class _LateOrder:
-    """Hold an order without an answer that acts at ``due_s``."""
+    """An order that gets no answer and is executed at ``due_s``.
+
+    ``sent_to`` is the incarnation that was up at the address when the order was sent.
+    """
 
     due_s: float
     worker: str
@@ -132,22 +136,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Asking:
-    """Name a renewal of the session's own loop."""
+class _ReportCall:
+    """A report call of the session's own loop, which may renew the lease."""
 
     asked_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Probing:
-    """Name a report asked for beside the session's own loop."""
+class _ProbeCall:
+    """A report call made outside the session's own loop."""
 
     asked_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Starting:
-    """Name a try of a start; ``may_act`` tells that an earlier one got no answer."""
+class _StartCall:
+    """A try of a start.
+
+    ``may_act`` is True if an earlier try got no answer and may still take effect.
+    """
 
     start: StartTask
     tries_left: int
@@ -155,30 +162,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Stopping:
-    """Name a stop under way."""
+class _StopCall:
+    """A stop whose answer is outstanding."""
 
     stop: StopTask
 
 
-_Purpose = _Asking | _Probing | _Starting | _Stopping
+_CallKind = _ReportCall | _ProbeCall | _StartCall | _StopCall
 
 
 @dataclass(slots=True)
 class _Answer:
-    """Hold an answer that reaches a session at ``due_s``."""
+    """An answer that reaches its session at ``due_s``."""
 
     due_s: float
     owner: _Owner
     session: _Session
-    purpose: _Purpose
+    call_kind: _CallKind
     result: Result
     token: int
 
 
 @dataclass(slots=True)
 class _Retry:
-    """Hold a try of a start that is sent at ``due_s``."""
+    """A try of a start that is sent at ``due_s``."""
 
     due_s: float
     owner: _Owner
@@ -190,8 +197,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoteAt:
-    """Hold what an owner decided and when, to tell why a promise broke."""
+class TimedNote:
+    """A note of an owner's decision with its time, to diagnose failed checks."""
 
     at_s: float
     term: int
@@ -199,7 +206,7 @@
 
 
 class FleetMachine:
-    """Hold the world, the log and the owner; ``step`` lets time pass."""
+    """A simulation of workers, log and owner; ``step`` advances its time."""
 
     def __init__(
         self,
@@ -220,21 +227,21 @@
         self.cancelled_s: dict[str, float] = {}
         self.cut: set[str] = set()
         self.lose_answers = 0.0
-        self.slow_answers = 0.0
-        self.lags_s: dict[str, float] = {}
+        self.slow_answer_share = 0.0
+        self.order_delay_s: dict[str, float] = {}
         self.log_down = False
         self.list_lag_s = 0.0
         self.cordoned: frozenset[str] = frozenset()
         self._read_cordoned: frozenset[str] = frozenset()
         self.late: list[_LateOrder] = []
-        self.notes: list[NoteAt] = []
-        self.troubled_s: dict[str, float] = {}
-        self._lists: deque[tuple[float, list[ListedTaskWorker]]] = deque()
+        self.notes: list[TimedNote] = []
+        self.last_unreachable_s: dict[str, float] = {}
+        self._list_history: deque[tuple[float, list[ListedTaskWorker]]] = deque()
         self._read_list: list[ListedTaskWorker] = []
-        self._read_s = self.now_s
+        self._list_read_s = self.now_s
         self._answers: list[_Answer] = []
         self._retries: list[_Retry] = []
-        self._former: list[_Owner] = []
+        self._former_owners: list[_Owner] = []
         self.term = 0
         self.term_began_s: dict[int, float] = {}
         self.owner: _Owner | None = None
@@ -243,10 +250,10 @@
 
     @property
     def now_ms(self) -> int:
-        """Return the time of day."""
+        """Return the simulated time in Unix milliseconds."""
         return START_MS + int(self.now_s * 1000)
 
-    # What happens to the system.
+    # Events from outside: jobs, cancellations and a change of owner.
 
     def submit(self, job: StagedJob) -> None:
         """Accept a job."""
@@ -263,16 +270,16 @@
         self.owner.scheduler.cancel_job(job_id, self.now_s, self.now_ms)
 
     def replace_owner(self) -> None:
-        """Let another instance take over from what the log holds.
+        """Have another instance take over from what the log holds.
 
-        Of the rounds that were under way, each stream may have got some. The former
-        owner renews leases for as long as its policy allows.
+        Each stream may have received some of the uncommitted rounds. The former owner
+        renews leases for ``predecessor_s`` more.
         """
         if self.owner is not None:
-            self._keep_some_rounds(self.owner.uncommitted)
+            self._store_some_rounds(self.owner.uncommitted)
             self.owner.uncommitted = []
             self.owner.renews_until_s = self.now_s + self.predecessor_s
-            self._former.append(self.owner)
+            self._former_owners.append(self.owner)
         self.term += 1
         self.term_began_s[self.term] = self.now_s
         policy = FleetPolicy(
@@ -283,32 +290,34 @@
         scheduler.set_cordoned_halls(self._read_cordoned)
         scheduler.take_list(self._read_list, self.now_s)
         left_over = self.book.take_progress(self.progress.values())
-        self._keep_progress(tuple(make_phase_drop(phase) for phase in left_over))
+        self._store_progress(tuple(make_phase_drop(phase) for phase in left_over))
         scheduler.take_book(self.book, self.now_s, self.now_ms)
         self.owner = _Owner(self.term, scheduler)
 
     def step(self) -> None:
-        """Let a tenth of a second pass."""
+        """Advance time by ``STEP_S``."""
         self.now_s += STEP_S
-        self._carry_out_late()
+        self._execute_late_orders()
         self.world.advance(self.now_s)
-        self._note_trouble()
+        self._record_unreachable()
         self._read_workers()
-        self._hear_answers()
-        self._former = [
-            former for former in self._former if former.renews_until_s > self.now_s
+        self._deliver_answers()
+        self._former_owners = [
+            former
+            for former in self._former_owners
+            if former.renews_until_s > self.now_s
         ]
-        for owner in (*self._former, self.owner):
-            self._ask_workers(owner)
+        for owner in (*self._former_owners, self.owner):
+            self._request_due_reports(owner)
         self._step_owner(self.owner)
 
-    def pass_idle(self, seconds: float) -> None:
-        """Let time pass at once in which nobody calls anybody: no task runs."""
+    def skip_idle_time(self, seconds: float) -> None:
+        """Advance time at once, without calls; no task may be running."""
         assert not any(worker.runs for worker in self.world.workers.values())
         self.now_s += seconds
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance time step by step."""
         for _ in range(round(seconds / STEP_S)):
             self.step()
 
@@ -321,13 +330,13 @@
         self._match_sessions(owner)
         inbox, owner.inbox = owner.inbox, []
         for message in inbox:
-            self._take_message(owner, message)
+            self._handle_message(owner, message)
         self._commit_rounds(owner)
-        since_s = owner.stuck_since_s
-        if since_s is not None and since_s < self.now_s - STUCK_S:
+        since_s = owner.log_stalled_since_s
+        if since_s is not None and since_s < self.now_s - LOG_STALL_LIMIT_S:
             return
         decided = scheduler.decide(self.now_s, self.now_ms)
-        self._carry_out(owner, decided)
+        self._execute_round(owner, decided)
         self._update_sessions(owner)
 
     def _match_sessions(self, owner: _Owner) -> None:
@@ -336,9 +345,9 @@
             if found is not None:
                 found.update_incarnation(entry.started_ms)
                 continue
-            clock = WorkerClock(entry.clock_ms, self._read_s)
+            clock = WorkerClock(entry.clock_ms, self._list_read_s)
             session = _Session(entry.name, entry.address, clock)
-            session.incarnation = Incarnation(entry.started_ms, self._read_s)
+            session.incarnation = Incarnation(entry.started_ms, self._list_read_s)
             self._open_session(owner, session)
         for worker in owner.scheduler.list_unlisted():
             if worker.name not in owner.sessions:
@@ -350,9 +359,9 @@
         owner.sessions[session.worker] = session
 
     def _get_token(self, owner: _Owner) -> int:
-        """Return a token that increases while the owner holds the tenure."""
+        """Return the owner's token; it increases while the owner holds the tenure."""
         until_s = min(self.now_s, owner.renews_until_s - self.predecessor_s)
-        renewals = int((until_s - self.term_began_s[owner.term]) / RENEWAL_S)
+        renewals = int((until_s - self.term_began_s[owner.term]) / TOKEN_INTERVAL_S)
         return owner.term * TOKENS_PER_TERM + min(renewals, TOKENS_PER_TERM - 1)
 
     def _refresh_token(self, owner: _Owner, session: _Session) -> bool:
@@ -367,13 +376,13 @@
         for name, session in list(owner.sessions.items()):
             if name in workers:
                 session.busy = owner.scheduler.is_busy(name)
-                session.woken = session.woken or session.busy
+                session.report_due = session.report_due or session.busy
             else:
-                # Orders under way may act, and nobody hears what comes of them.
+                # Orders under way may still be executed; their answers are dropped.
                 session.closed = True
                 del owner.sessions[name]
 
-    def _take_message(self, owner: _Owner, message: Message) -> None:
+    def _handle_message(self, owner: _Owner, message: Message) -> None:
         scheduler = owner.scheduler
         if message.worker not in scheduler.state.workers:
             return
@@ -384,77 +393,77 @@
             case ReportAnswer(worker, _, Failure(problem)):
                 if problem.code is Code.ORDER_REFUSED:
                     scheduler.note_refused(worker)
-                self._take_failed_call(owner, worker, problem.code)
+                self._handle_failed_call(owner, worker, problem.code)
             case StartDropped(_, task, attempt):
                 scheduler.note_never_sent(task, attempt, self.now_s)
             case StartAnswer(worker, task, attempt, code, may_act):
                 scheduler.take_start_answer(task, attempt, code, may_act, self.now_s)
                 if code is not None:
-                    self._take_failed_call(owner, worker, code)
+                    self._handle_failed_call(owner, worker, code)
             case StopAnswer(_, task, attempt, None):
                 scheduler.take_stop_answer(task, attempt, self.now_s)
             case StopAnswer(worker, _, _, code):
-                self._take_failed_call(owner, worker, code)
+                self._handle_failed_call(owner, worker, code)
 
-    def _take_failed_call(self, owner: _Owner, worker: str, code: Code) -> None:
+    def _handle_failed_call(self, owner: _Owner, worker: str, code: Code) -> None:
         match code:
             case Code.FENCED:
-                raise AssertionError("the newest owner was refused")
+                raise AssertionError("the current owner was fenced")
             case Code.WORKER_REPLACED:
                 owner.scheduler.note_replaced(worker, self.now_s)
             case Code.WORKER_SILENT | Code.WORKER_UNREACHABLE:
                 owner.scheduler.note_silent(worker, self.now_s)
 
-    def _carry_out(self, owner: _Owner, decided: Round) -> None:
+    def _execute_round(self, owner: _Owner, decided: Round) -> None:
         for note in decided.notes:
-            self.notes.append(NoteAt(self.now_s, owner.term, note))
+            self.notes.append(TimedNote(self.now_s, owner.term, note))
         for stop in decided.stops:
             session = owner.sessions.get(stop.worker)
             if session is not None:
                 self._refresh_token(owner, session)
                 order = StopOrder(stop.task, stop.attempt, session.token)
-                self._call(owner, session, _Stopping(stop), order)
+                self._call(owner, session, _StopCall(stop), order)
         for name in decided.probes:
             session = owner.sessions.get(name)
             if session is not None and self._refresh_token(owner, session):
                 call = LeaseCall(session.token, 0)
-                self._call(owner, session, _Probing(self.now_s), call)
-        # A round reaches the log a step later, or never.
+                self._call(owner, session, _ProbeCall(self.now_s), call)
+        # A round reaches the log one step later, or never.
         owner.uncommitted.append(decided)
 
     def _commit_rounds(self, owner: _Owner) -> None:
         if self.log_down:
-            if owner.uncommitted and owner.stuck_since_s is None:
-                owner.stuck_since_s = self.now_s
+            if owner.uncommitted and owner.log_stalled_since_s is None:
+                owner.log_stalled_since_s = self.now_s
             return
-        owner.stuck_since_s = None
+        owner.log_stalled_since_s = None
         rounds, owner.uncommitted = owner.uncommitted, []
         for decided in rounds:
             self._commit(owner, decided)
 
     def _commit(self, owner: _Owner, decided: Round) -> None:
         records = encode_round(decided)
-        self._keep_jobs(records.jobs)
-        self._keep_progress((*records.progress, *records.dropped))
+        self._store_jobs(records.jobs)
+        self._store_progress((*records.progress, *records.dropped))
         if decided.leases is not None:
-            self._grant_again(owner, decided.leases)
+            self._renew_noted_leases(owner, decided.leases)
         for name, seen in decided.seen.items():
             session = owner.sessions.get(name)
             if session is None or seen.started_ms != session.incarnation.started_ms:
                 continue
             if seen.number > session.to_acknowledge:
                 session.to_acknowledge = seen.number
-                session.woken = True
+                session.report_due = True
         for start in decided.starts:
             session = owner.sessions.get(start.worker)
             wanted = owner.scheduler.is_wanted(start.task, start.attempt)
             if session is None or not wanted:
                 owner.scheduler.note_never_sent(start.task, start.attempt, self.now_s)
                 continue
-            session.busy = session.woken = True
-            self._order_start(owner, session, start)
+            session.busy = session.report_due = True
+            self._begin_start(owner, session, start)
 
-    def _grant_again(self, owner: _Owner, note: LeaseNote) -> None:
+    def _renew_noted_leases(self, owner: _Owner, note: LeaseNote) -> None:
         for name in owner.scheduler.take_lease_note(note):
             session = owner.sessions.get(name)
             if session is None or session.silent:
@@ -465,45 +474,47 @@
                 if lease_s is not None:
                     until_ms = session.clock.get_lease_until_ms(self.now_s, lease_s)
                 call = LeaseCall(session.token, 0, until_ms)
-                self._call(owner, session, _Probing(self.now_s), call)
+                self._call(owner, session, _ProbeCall(self.now_s), call)
 
     # Sessions.
 
-    def _ask_workers(self, owner: _Owner) -> None:
+    def _request_due_reports(self, owner: _Owner) -> None:
         for session in owner.sessions.values():
-            due = session.woken and not session.asking
-            if due and self.now_s >= session.ask_from_s:
-                self._ask_worker(owner, session)
+            due = session.report_due and not session.awaiting_report
+            if due and self.now_s >= session.next_report_s:
+                self._request_report(owner, session)
 
-    def _ask_worker(self, owner: _Owner, session: _Session) -> None:
+    def _request_report(self, owner: _Owner, session: _Session) -> None:
         if not self._refresh_token(owner, session):
             return
         lease_s = None if session.silent else self._grant_lease(owner, session)
         lease_until_ms = None
         if lease_s is not None:
             lease_until_ms = session.clock.get_lease_until_ms(self.now_s, lease_s)
-        session.asking = True
-        session.ask_from_s = self.now_s + (ASK_S if session.busy else 0.0)
+        session.awaiting_report = True
+        session.next_report_s = self.now_s + (
+            REPORT_INTERVAL_S if session.busy else 0.0
+        )
         is_pending = session.to_acknowledge > session.acknowledged
         number = session.to_acknowledge if is_pending and not session.silent else 0
         session.sent_acknowledgement = max(number, session.acknowledged)
         started_ms = session.incarnation.started_ms if number else 0
         call = LeaseCall(session.token, number, lease_until_ms, started_ms=started_ms)
-        self._call(owner, session, _Asking(self.now_s), call)
+        self._call(owner, session, _ReportCall(self.now_s), call)
 
     def _grant_lease(self, owner: _Owner, session: _Session) -> float | None:
         if owner.fenced or self.now_s >= owner.renews_until_s:
             return None
         return owner.scheduler.grant_lease(session.worker, self.now_s)
 
-    def _order_start(self, owner: _Owner, session: _Session, start) -> None:
-        """Send a start, after a report where the worker's clock is old."""
+    def _begin_start(self, owner: _Owner, session: _Session, start) -> None:
+        """Send a start, after a report call if the worker's clock reading is old."""
         if session.clock.get_age_s(self.now_s) > SessionTimes().clock_age_s:
             if self._refresh_token(owner, session):
                 call = LeaseCall(session.token, 0)
-                self._call(owner, session, _Probing(self.now_s), call)
+                self._call(owner, session, _ProbeCall(self.now_s), call)
             if session.clock.heard_s < self.now_s:
-                # No answer yet: the start waits until the call has run out of time.
+                # No answer yet: the start waits until the call has timed out.
                 due_s = self.now_s + CALL_TIMEOUT_S
                 retry = _Retry(due_s, owner, session, start, START_TRIES, False)
                 self._retries.append(retry)
@@ -529,8 +540,8 @@
             lease_s = None
         if lease_s is None and may_act:
             code = Code.WORKER_SILENT
-            session.woken = True
-            self._tell_start(owner, session, start, code, may_act=True)
+            session.report_due = True
+            self._report_start_answer(owner, session, start, code, may_act=True)
             return
         if lease_s is None:
             dropped = StartDropped(session.worker, start.task, start.attempt)
@@ -545,22 +556,27 @@
             start.checkpoint,
             session.incarnation.started_ms,
         )
-        self._call(owner, session, _Starting(start, tries - 1, may_act), order)
+        self._call(owner, session, _StartCall(start, tries - 1, may_act), order)
 
-    def _tell_start(self, owner, session, start, code, *, may_act: bool) -> None:
+    def _report_start_answer(
+        self, owner, session, start, code, *, may_act: bool
+    ) -> None:
         owner.inbox.append(
             StartAnswer(session.worker, start.task, start.attempt, code, may_act)
         )
 
-    def _hear_answers(self) -> None:
-        """Let answers reach their sessions; those due together in any order."""
+    def _deliver_answers(self) -> None:
+        """Deliver answers and retries that are due.
+
+        Answers due in one step are shuffled where answers are delayed.
+        """
         due = [answer for answer in self._answers if answer.due_s <= self.now_s]
         self._answers = [a for a in self._answers if a.due_s > self.now_s]
-        if self.slow_answers:
+        if self.slow_answer_share:
             self.random.shuffle(due)
         for answer in due:
             if not answer.session.closed:
-                self._hear(answer)
+                self._deliver_answer(answer)
         retries = [retry for retry in self._retries if retry.due_s <= self.now_s]
         self._retries = [r for r in self._retries if r.due_s > self.now_s]
         for retry in retries:
@@ -574,41 +590,43 @@
                     token=retry.token,
                 )
 
-    def _hear(self, answer: _Answer) -> None:
+    def _deliver_answer(self, answer: _Answer) -> None:
         owner, session, result = answer.owner, answer.session, answer.result
         is_outdated = answer.token < session.token
         if isinstance(result, Failure) and result.failure().code is Code.FENCED:
             if not is_outdated:
-                assert owner is not self.owner, "the newest owner was refused"
+                assert owner is not self.owner, "the current owner was fenced"
                 owner.fenced = True
                 return
             result = Failure(Problem(Code.ORDER_TOO_LATE))
-        match answer.purpose:
-            case _Asking(asked_s):
-                session.asking = False
-                if not self._take_incarnation(session, result, asked_s):
+        match answer.call_kind:
+            case _ReportCall(asked_s):
+                session.awaiting_report = False
+                if not self._check_incarnation(session, result, asked_s):
                     return
-                self._hear_report(session, result, answer.token)
+                self._handle_report(session, result, answer.token)
                 owner.inbox.append(ReportAnswer(session.worker, asked_s, result))
-            case _Probing(asked_s):
-                if not self._take_incarnation(session, result, asked_s):
+            case _ProbeCall(asked_s):
+                if not self._check_incarnation(session, result, asked_s):
                     return
-                self._take_report_clock(session, result)
-                session.woken = session.woken or isinstance(result, Failure)
+                self._update_clock_from_report(session, result)
+                session.report_due = session.report_due or isinstance(result, Failure)
                 owner.inbox.append(ReportAnswer(session.worker, asked_s, result))
-            case _Starting() as starting:
-                self._hear_start(owner, session, starting, result, answer.token)
-            case _Stopping(stop):
-                code = self._take_clock(session, result, answer.token)
-                session.woken = session.woken or code in UNANSWERED
+            case _StartCall() as starting:
+                self._handle_start_answer(
+                    owner, session, starting, result, answer.token
+                )
+            case _StopCall(stop):
+                code = self._update_clock(session, result, answer.token)
+                session.report_due = session.report_due or code in UNANSWERED
                 owner.inbox.append(
                     StopAnswer(session.worker, stop.task, stop.attempt, code)
                 )
 
-    def _take_incarnation(
+    def _check_incarnation(
         self, session: _Session, result: Result, asked_s: float
     ) -> bool:
-        """Take a report's start time; return whether the answer is up to date."""
+        """Apply a report's start time; return False if the answer is outdated."""
         match result:
             case Success(report):
                 match session.incarnation.compare(report.started_ms, asked_s):
@@ -621,40 +639,44 @@
             case Failure(problem):
                 return problem.code is not Code.ORDER_TOO_LATE
 
-    def _hear_report(self, session: _Session, result: Result, token: int) -> None:
+    def _handle_report(self, session: _Session, result: Result, token: int) -> None:
         match result:
             case Success(report):
                 session.silent = False
                 if token == session.token and not session.needs_higher_token:
                     session.acknowledged = session.sent_acknowledgement
                 session.clock.take(report.clock_ms, self.now_s)
-                # What is asked for after this report has to be acknowledged anew.
-                session.woken = (
+                # Ends that this call did not acknowledge need another call.
+                session.report_due = (
                     session.busy or session.to_acknowledge > session.acknowledged
                 )
             case Failure(_):
                 session.silent = True
-                session.ask_from_s = self.now_s + SILENT_PAUSE_S
+                session.next_report_s = self.now_s + SILENT_RETRY_S
 
-    def _hear_start(self, owner, session, starting: _Starting, result, token) -> None:
-        code = self._take_clock(session, result, token)
+    def _handle_start_answer(
+        self, owner, session, starting: _StartCall, result, token
+    ) -> None:
+        code = self._update_clock(session, result, token)
         start, may_act = starting.start, starting.may_act
         if code in UNANSWERED:
             may_act = may_act or code is Code.WORKER_SILENT
             if starting.tries_left:
-                due_s = self.now_s + START_PAUSE_S
+                due_s = self.now_s + START_RETRY_S
                 retry = _Retry(due_s, owner, session, start, 1, may_act, token=token)
                 self._retries.append(retry)
                 return
-        session.woken = session.woken or code in UNANSWERED
-        self._tell_start(owner, session, start, code, may_act=may_act)
+        session.report_due = session.report_due or code in UNANSWERED
+        self._report_start_answer(owner, session, start, code, may_act=may_act)
 
-    def _take_report_clock(self, session: _Session, result: Result) -> None:
+    def _update_clock_from_report(self, session: _Session, result: Result) -> None:
         match result:
             case Success(report):
                 session.clock.take(report.clock_ms, self.now_s)
 
-    def _take_clock(self, session: _Session, result: Result, token: int) -> Code | None:
+    def _update_clock(
+        self, session: _Session, result: Result, token: int
+    ) -> Code | None:
         match result:
             case Success(_) if token != session.token or session.needs_higher_token:
                 return None
@@ -667,35 +689,38 @@
     # Calls to workers.
 
     def _call(
-        self, owner: _Owner, session: _Session, purpose: _Purpose, order: Order
+        self, owner: _Owner, session: _Session, call_kind: _CallKind, order: Order
     ) -> None:
-        """Have an order carried out now, late or never; its answer comes in time."""
-        result = self._reach(session, order)
+        """Send an order and schedule its answer, or a failure after the timeout.
+
+        The order is executed now, late or never.
+        """
+        result = self._send_order(session, order)
         if result is None:
             due_s = self.now_s + CALL_TIMEOUT_S
             result = Failure(Problem(Code.WORKER_SILENT))
         else:
             due_s = self.now_s
-            if self.random.random() < self.slow_answers:
+            if self.random.random() < self.slow_answer_share:
                 due_s += self.random.choice((0.1, 0.2, 0.4, 0.6))
-        answer = _Answer(due_s, owner, session, purpose, result, order.token)
+        answer = _Answer(due_s, owner, session, call_kind, result, order.token)
         if due_s <= self.now_s:
-            self._hear(answer)
+            self._deliver_answer(answer)
         else:
             self._answers.append(answer)
 
-    def _reach(self, session: _Session, order: Order) -> Result | None:
-        """Return the answer, None where none comes; the order may act later."""
+    def _send_order(self, session: _Session, order: Order) -> Result | None:
+        """Return the answer, or None if there is none; the order may act later."""
         if session.worker in self.cut or session.address in self.cut:
             return None
-        lag_s = self.lags_s.get(session.address)
-        if lag_s is None and self.random.random() < self.lose_answers:
-            lag_s = self.random.choice(LATE_S)
-        if lag_s is not None:
-            due_s = self.now_s + lag_s
+        delay_s = self.order_delay_s.get(session.address)
+        if delay_s is None and self.random.random() < self.lose_answers:
+            delay_s = self.random.choice(ORDER_DELAYS_S)
+        if delay_s is not None:
+            due_s = self.now_s + delay_s
             sent_to = self.world.find_at(session.address)
-            sent = _make_first_call(order, sent_to)
-            late = _LateOrder(due_s, session.worker, sent, lag_s > 0, sent_to)
+            sent = _make_first_order(order, sent_to)
+            late = _LateOrder(due_s, session.worker, sent, delay_s > 0, sent_to)
             self.late.append(late)
             return None
         worker = self.world.find_at(session.address)
@@ -703,8 +728,8 @@
             return self._fail_to_connect(session)
         if worker.name != session.worker:
             return Failure(Problem(Code.WORKER_REPLACED))
-        sent = _make_first_call(order, worker)
-        result = self._carry_out_order(worker, sent, late=False)
+        sent = _make_first_order(order, worker)
+        result = self._execute_order(worker, sent, late=False)
         match order, result:
             case StartOrder(), Success(_) if sent is not order:
                 return Failure(Problem(Code.ORDER_TOO_LATE))
@@ -713,7 +738,7 @@
     def _fail_to_connect(self, session: _Session) -> Result | None:
         """Return the failure of a call to a worker that has ended.
 
-        It has no answer as long as a connection to that worker seems open.
+        Return None, for no answer, while the connection still seems open.
         """
         ended_s = max(
             worker.dead_since_s
@@ -724,7 +749,7 @@
             return None
         return Failure(Problem(Code.WORKER_UNREACHABLE))
 
-    def _carry_out_order(
+    def _execute_order(
         self,
         worker: SimWorker,
         order: Order,
@@ -748,14 +773,14 @@
             case LeaseCall():
                 return self.world.renew(worker, order, self.now_s)
 
-    def _carry_out_late(self) -> None:
+    def _execute_late_orders(self) -> None:
         due = [late for late in self.late if late.due_s <= self.now_s]
         self.late = [late for late in self.late if late.due_s > self.now_s]
         for late in due:
             worker = self.world.workers[late.worker]
             if not worker.dead:
                 sent_before_restart = worker is not late.sent_to
-                self._carry_out_order(
+                self._execute_order(
                     worker,
                     late.order,
                     late=late.late,
@@ -772,60 +797,64 @@
         ]
 
     def _read_workers(self) -> None:
-        """Read the list as it was a while ago; nothing is read while the log is down.
+        """Read the list as it was ``list_lag_s`` ago; nothing while the log is down.
 
-        What was read once is never read in an older state.
+        A later read never returns an older list.
         """
-        self._lists.append((self.now_s, self._list_workers()))
+        self._list_history.append((self.now_s, self._list_workers()))
         if self.log_down:
             return
         self._read_cordoned = self.cordoned
-        while self._lists and self._lists[0][0] <= self.now_s - self.list_lag_s:
-            self._read_list = self._lists.popleft()[1]
-            self._read_s = self.now_s
-
-    def _note_trouble(self) -> None:
-        """Remember when a worker was last out of reach, for bounds on time."""
-        everywhere = self.log_down or self.lose_answers or self.list_lag_s
+        while (
+            self._list_history
+            and self._list_history[0][0] <= self.now_s - self.list_lag_s
+        ):
+            self._read_list = self._list_history.popleft()[1]
+            self._list_read_s = self.now_s
+
+    def _record_unreachable(self) -> None:
+        """Record when each worker was last unreachable, for checks of time limits."""
+        all_unreachable = self.log_down or self.lose_answers or self.list_lag_s
         late = {order.worker for order in self.late}
         for name, worker in self.world.workers.items():
-            out_of_reach = name in self.cut or worker.address in self.cut
-            out_of_reach = out_of_reach or worker.address in self.lags_s
-            if everywhere or out_of_reach or name in late:
-                self.troubled_s[name] = self.now_s
+            is_unreachable = name in self.cut or worker.address in self.cut
+            is_unreachable = is_unreachable or worker.address in self.order_delay_s
+            if all_unreachable or is_unreachable or name in late:
+                self.last_unreachable_s[name] = self.now_s
 
     # The log.
 
     def _append(self, record: JobRecord) -> None:
-        self._keep_jobs((encode_job_record(record),))
+        self._store_jobs((encode_job_record(record),))
 
-    def _keep_some_rounds(self, rounds: list[Round]) -> None:
-        """Keep the first of some rounds, on each stream as many as chance has it."""
+    def _store_some_rounds(self, rounds: list[Round]) -> None:
+        """Store a prefix of the rounds, of random length for each stream."""
         kept_jobs = self.random.randint(0, len(rounds))
         kept_progress = self.random.randint(0, len(rounds))
         for number, decided in enumerate(rounds):
             records = encode_round(decided)
             if number < kept_jobs:
-                self._keep_jobs(records.jobs)
+                self._store_jobs(records.jobs)
             if number < kept_progress:
-                self._keep_progress(records.progress)
+                self._store_progress(records.progress)
 
-    def _keep_jobs(self, records: tuple[KeyedRecord, ...]) -> None:
+    def _store_jobs(self, records: tuple[KeyedRecord, ...]) -> None:
         for kept in records:
             self.book.apply(StoredRecord(self.offset, kept.key, kept.value))
             self.offset += 1
 
-    def _keep_progress(self, records: tuple[KeyedRecord, ...]) -> None:
+    def _store_progress(self, records: tuple[KeyedRecord, ...]) -> None:
         for kept in records:
             self.progress.pop(kept.key, None)
             if kept.value:
                 self.progress[kept.key] = StoredRecord(0, kept.key, kept.value)
 
 
-def _make_first_call(order: Order, worker: SimWorker | None) -> Order:
-    """Return what is sent first: a new connection is asked where it leads.
+def _make_first_order(order: Order, worker: SimWorker | None) -> Order:
+    """Return the first call on a new connection.
 
-    One that leads to another incarnation than the order is meant for gets no more.
+    A connection to another incarnation than the order is meant for gets a report call
+    only, and the order is not sent.
     """
     match order:
         case StartOrder() | LeaseCall() if worker is not None:
--- a/tests/fleet/progress.py
+++ b/tests/fleet/progress.py
@@ -1,4 +1,4 @@
-"""See in a simulated fleet what stands still, from its workers and its log alone."""
+"""Find work of a simulated fleet that stands still, from its workers and its log."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -13,17 +13,17 @@
 __all__ = ["CalmLook", "look_for_stand_stills", "run_and_look"]
 
 CALM_S = 4.0
-"""How long it has to be calm before work may not stand still; from the users' rules."""
-LASTING_REST_S = 6.0
-"""How long after its last run a lasting task may rest; from the users' rules."""
+"""Time without events after which work must not stand still."""
+IDLE_LIMIT_S = 6.0
+"""Time after the end of its last run for which a long-running task may be idle."""
 
 
 @dataclass(slots=True)
 class CalmLook:
-    """Look for what stands still in calm times, by any rack and however full.
+    """A check for work that stands still in calm periods.
 
-    A worker that dies or comes up, an entry that goes and another owner begin the calm
-    anew, and with it the time in which work may stand.
+    A calm period starts ``CALM_S`` after the last worker that ended or came up, entry
+    that disappeared or change of owner. Room in any rack counts, at any load.
     """
 
     stills: StandStills = field(
@@ -35,31 +35,33 @@
     _listed: frozenset[str] = frozenset()
 
     def look(self, machine: FleetMachine) -> None:
-        """Take what is to be seen now."""
-        if self._has_stirred(machine):
+        """Check the current state of the simulation."""
+        if self._has_changed(machine):
             self.calm_since_s = machine.now_s
         if machine.now_s < self.calm_since_s + CALM_S:
             self.stills.look(machine.now_s, (), ())
         else:
             look_for_stand_stills(machine, self.stills)
 
-    def _has_stirred(self, machine: FleetMachine) -> bool:
+    def _has_changed(self, machine: FleetMachine) -> bool:
         before = self._term, self._up
-        gone = self._listed - self._find(machine, lambda worker: worker.listed)
+        unlisted = self._listed - self._list_names(
+            machine, lambda worker: worker.listed
+        )
         self._term = machine.term
-        self._up = self._find(machine, lambda worker: not worker.dead)
-        self._listed = self._find(machine, lambda worker: worker.listed)
-        return bool(gone) or before != (self._term, self._up)
+        self._up = self._list_names(machine, lambda worker: not worker.dead)
+        self._listed = self._list_names(machine, lambda worker: worker.listed)
+        return bool(unlisted) or before != (self._term, self._up)
 
-    def _find(
-        self, machine: FleetMachine, chooses: Callable[[SimWorker], bool]
+    def _list_names(
+        self, machine: FleetMachine, predicate: Callable[[SimWorker], bool]
     ) -> frozenset[str]:
         workers = machine.world.workers.values()
-        return frozenset(worker.name for worker in workers if chooses(worker))
+        return frozenset(worker.name for worker in workers if predicate(worker))
 
 
 def run_and_look(machine: FleetMachine, seconds: float) -> StandStills:
-    """Let time pass, and return what stood still meanwhile."""
+    """Advance time, and return what stood still meanwhile."""
     stills = StandStills(any_rack=True)
     until_s = machine.now_s + seconds
     while machine.now_s < until_s:
@@ -69,9 +71,9 @@
 
 
 def look_for_stand_stills(machine: FleetMachine, stills: StandStills) -> None:
-    """Look at all workers and at all jobs that have not ended."""
+    """Check the jobs that have not ended against the free room of all workers."""
     workers = machine.world.workers.values()
-    rooms = [_get_room(worker) for worker in workers if _is_sound(machine, worker)]
+    rooms = [_get_room(worker) for worker in workers if _is_usable(machine, worker)]
     running = {
         run.task.split(".")[0] for worker in workers for run in worker.runs.values()
     }
@@ -82,13 +84,13 @@
         step
         for job_id, entry in machine.book.entries.items()
         if entry.outcome is None and not entry.cancelled
-        for step in _list_due(machine, job_id, by_job.get(job_id, []))
+        for step in _list_due_steps(machine, job_id, by_job.get(job_id, []))
         if step.task is not None or job_id not in running
     ]
     stills.look(machine.now_s, rooms, idle)
 
 
-def _is_sound(machine: FleetMachine, worker: SimWorker) -> bool:
+def _is_usable(machine: FleetMachine, worker: SimWorker) -> bool:
     stays = not worker.dead and worker.listed and worker.ends_s == float("inf")
     answers = worker.refusing_until_s <= machine.now_s
     return stays and answers and worker.address not in machine.cut
@@ -100,8 +102,10 @@
     return WorkerRoom(worker.name, worker.rack, labels, worker.capacity, used)
 
 
-def _list_due(machine: FleetMachine, job_id: str, runs: list[Run]) -> list[IdleStep]:
-    """Return the steps that are not done, and those before them are."""
+def _list_due_steps(
+    machine: FleetMachine, job_id: str, runs: list[Run]
+) -> list[IdleStep]:
+    """Return the unfinished steps whose dependencies are completed."""
     job = machine.jobs[job_id]
     done = {run.task for run in runs if run.kind is EndKind.DONE}
     is_done = []
@@ -114,25 +118,27 @@
         if is_done[step] or not all(is_done[before] for before in spec.depends_on):
             continue
         if spec.long_running:
-            due += _list_resting(machine, job_id, step, runs)
+            due += _list_idle_tasks(machine, job_id, step, runs)
         else:
             due.append(IdleStep(job_id, step, spec))
     return due
 
 
-def _list_resting(
+def _list_idle_tasks(
     machine: FleetMachine, job_id: str, step: int, runs: list[Run]
 ) -> list[IdleStep]:
-    """Return the lasting tasks of a step that have rested for long enough."""
+    """Return the long-running tasks that have been idle for ``IDLE_LIMIT_S``."""
     spec = machine.jobs[job_id].steps[step]
     of_step = [run for run in runs if int(run.task.split(".")[2]) == step]
     running = [run for run in of_step if run.ended_s is None]
     taken = Counter(run.worker for run in running)
-    awake = {run.task for run in running}
-    rested_s = machine.now_s - LASTING_REST_S
-    awake |= {run.task for run in of_step if (run.ended_s or rested_s) > rested_s}
+    active = {run.task for run in running}
+    idle_since_s = machine.now_s - IDLE_LIMIT_S
+    active |= {
+        run.task for run in of_step if (run.ended_s or idle_since_s) > idle_since_s
+    }
     return [
         IdleStep(job_id, step, spec, taken, index)
         for index in range(spec.count)
-        if f"{job_id}.0.{step}.{index}" not in awake
+        if f"{job_id}.0.{step}.{index}" not in active
     ]
--- a/tests/fleet/sim_worker.py
+++ b/tests/fleet/sim_worker.py
@@ -1,10 +1,10 @@
-"""Stand in for workers on a passed clock, with gangs, leases and tokens.
+"""Simulate workers with gangs, leases and tokens on a simulated clock.
 
-A worker says that it leaves or does not, serves on for a while and ends with all it
-runs. Its entry on the platform's list is apart from its life: it may go while the
-worker still runs, and come back. A later life has a name of its own and may have the
-address of one that has ended, or the name and address of the former one, without
-any of its state.
+A worker may announce that it leaves or not; it then serves for a while longer and ends
+with all its runs. Its entry on the platform's list is independent of that: it may
+disappear while the worker still runs, and come back. A worker that ended may be
+replaced under a new name at the same address, or restarted under the same name and
+address. Either begins without any state.
 """
 
 from collections.abc import Callable
@@ -36,24 +36,25 @@
 
 START_MS = 1_700_000_000_000
 TOKENS_PER_TERM = 1000
-"""An owner's tokens increase within its term and stay below those of the next."""
-GANG_WAIT_S = 3.0
+"""Number of tokens in each term; those of a later term are always higher."""
+GANG_TIMEOUT_S = 3.0
 STOP_S = 0.5
 LEASE_S = 10.0
-SERVES_ON_S = 2.0
-"""How long a worker serves on at least from when it says that it leaves."""
+LEAVE_NOTICE_S = 2.0
+"""Minimum time for which a leaving worker goes on serving."""
 
 
 @dataclass(slots=True)
 class Run:
-    """Hold one run of a task, for the checks; ``ended_s`` is None while it runs.
-
-    ``noted`` tells whether its end was acknowledged before the lease lapsed: only
-    then must the system know of it. ``late`` tells that the start was carried out
-    late, ``lost`` that the worker crashed while it ran. ``term`` is the owner's,
-    ``sim_worker`` the incarnation that ran it. ``sent_before_restart`` tells that the
-    start was sent before this incarnation began, and acted before a call with a higher
-    token arrived.
+    """A run of a task, recorded for the checks; ``ended_s`` is None while it runs.
+
+    ``end_acknowledged`` is True if the end was acknowledged before the worker's lease
+    lapsed: only then must the owner know of it. ``late`` is True if the start was
+    executed late, ``lost`` if the worker ended while the task ran. ``term`` is the
+    owner's, ``sim_worker`` the incarnation that ran the task.
+    ``sent_before_restart`` is True if the start was sent before this incarnation began
+    and took effect before a call with a higher token arrived. ``work_began_s`` is the
+    time from which the task works; members of a gang work once all of them run.
     """
 
     task: str
@@ -63,23 +64,25 @@
     need: Resources
     ended_s: float | None = None
     kind: EndKind | None = None
-    noted: bool = False
+    end_acknowledged: bool = False
     late: bool = False
     sent_before_restart: bool = False
     lost: bool = False
     term: int = 0
-    stopping_s: float | None = None
-    works_since_s: float | None = None
+    stop_requested_s: float | None = None
+    work_began_s: float | None = None
     sim_worker: "SimWorker | None" = field(default=None, repr=False)
 
 
 @dataclass(slots=True)
 class SimWorker:
-    """Hold one incarnation of a worker; its clock runs ``rate`` times true time.
+    """One incarnation of a worker; its clock runs at ``rate`` times true time.
 
-    ``listed`` tells whether its entry is on the platform's list, ``leaving`` whether
-    it has said that it leaves, and ``stays_until_s`` how long it serves on at least.
-    Its clock counts from ``started_s``.
+    ``listed`` is True while its entry is on the platform's list, ``leaving`` once it
+    has announced that it leaves. ``serves_until_s`` is the time until which it serves
+    at least, ``ends_s`` the time at which it ends. Its clock counts from ``started_s``.
+    ``closed_attempts`` holds for each task the highest attempt that ended or was
+    stopped: starts up to that one are refused. ``number`` is that of the last end.
     """
 
     name: str
@@ -92,7 +95,7 @@
     lease_until_ms: int = 0
     listed: bool = True
     leaving: bool = False
-    stays_until_s: float = float("inf")
+    serves_until_s: float = float("inf")
     ends_s: float = float("inf")
     dead: bool = False
     dead_since_s: float = float("inf")
@@ -100,16 +103,16 @@
     refused_share: float = 1.0
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
     ends: list[EndedTask] = field(default_factory=list)
-    floors: dict[str, int] = field(default_factory=dict)
+    closed_attempts: dict[str, int] = field(default_factory=dict)
     number: int = 0
-    lapsed_s: float = float("-inf")
+    lease_lapsed_s: float = float("-inf")
     started_s: float = 0.0
 
     def __post_init__(self):
         self.address = self.address or self.name
 
     def get_clock_ms(self, now_s: float) -> int:
-        """Return the worker's own clock."""
+        """Return the worker's own clock in milliseconds."""
         return int((now_s - self.started_s) * self.rate * 1000)
 
     @property
@@ -119,10 +122,11 @@
 
 
 class SimWorld:
-    """Hold all workers, how long tasks work and everything that ever ran.
+    """All workers with the behaviour of tasks and the history of all runs.
 
-    ``lease_s`` is the longest lease that workers grant. A worker crashes
-    ``crash_after_s`` after it has begun a task that ``crashes``.
+    ``lease_s`` is the longest lease that workers accept. A worker crashes
+    ``crash_after_s`` after it has started a task for which ``crashes`` returns True.
+    ``gangs`` maps the phases that are gangs to their sizes.
     """
 
     def __init__(self, workers: list[SimWorker], need_of, work_s_of, fails):
@@ -147,15 +151,18 @@
         late: bool = False,
         sent_before_restart: bool = False,
     ) -> Result[int, Problem]:
-        """Carry out a start as a worker would; an unhealthy one does nothing."""
+        """Execute a start; return the worker's clock in milliseconds.
+
+        An unhealthy worker refuses the start and does nothing else.
+        """
         if unhealthy:
             return Failure(Problem(Code.ORDER_REFUSED))
         self._end_lapsed(worker, now_s)
         clock_ms = worker.get_clock_ms(now_s)
         refusal = self._refuse(worker, order, clock_ms)
-        # Whoever comes too late for the run brings the lease all the same.
+        # These refusals concern the run only: the lease is extended all the same.
         if refusal in (None, Code.ATTEMPT_TOO_OLD, Code.WORKER_FULL):
-            self._grant(worker, order.lease_until_ms, now_s)
+            self._extend_lease(worker, order.lease_until_ms, now_s)
         if refusal is not None:
             return Failure(Problem(refusal))
         key = (order.task, order.attempt)
@@ -181,7 +188,7 @@
         worker.token = order.token
         if (order.task, order.attempt) in worker.runs:
             return None
-        if order.attempt <= worker.floors.get(order.task, 0):
+        if order.attempt <= worker.closed_attempts.get(order.task, 0):
             return Code.ATTEMPT_TOO_OLD
         if order.lease_until_ms <= clock_ms:
             return Code.ORDER_TOO_LATE
@@ -190,31 +197,31 @@
             return Code.WORKER_FULL
         return None
 
-    def _grant(self, worker: SimWorker, until_ms: int, now_s: float) -> None:
-        """Lengthen the lease, cut to the longest from when the call is done."""
+    def _extend_lease(self, worker: SimWorker, until_ms: int, now_s: float) -> None:
+        """Extend the lease, up to the longest one counted from now."""
         longest_ms = worker.get_clock_ms(now_s) + int(self.lease_s * 1000)
         worker.lease_until_ms = max(worker.lease_until_ms, min(until_ms, longest_ms))
 
     def stop(
         self, worker: SimWorker, order: StopOrder, now_s: float
     ) -> Result[int, Problem]:
-        """Carry out a stop, also of a run that has not arrived."""
+        """Execute a stop, also of an attempt whose start has not arrived."""
         self._end_lapsed(worker, now_s)
         if order.token < worker.token:
             return Failure(Problem(Code.FENCED))
         worker.token = order.token
-        floor = worker.floors.get(order.task, 0)
-        worker.floors[order.task] = max(floor, order.attempt)
+        closed = worker.closed_attempts.get(order.task, 0)
+        worker.closed_attempts[order.task] = max(closed, order.attempt)
         for run in worker.runs.values():
-            meant = run.task == order.task and run.attempt <= order.attempt
-            if meant and run.stopping_s is None:
-                run.stopping_s = now_s
+            matches = run.task == order.task and run.attempt <= order.attempt
+            if matches and run.stop_requested_s is None:
+                run.stop_requested_s = now_s
         return Success(worker.get_clock_ms(now_s))
 
     def renew(
         self, worker: SimWorker, call: LeaseCall, now_s: float
     ) -> Result[WorkerReport, Problem]:
-        """Renew the lease, forget acknowledged ends and report."""
+        """Renew the lease, drop acknowledged ends and return a report."""
         self._end_lapsed(worker, now_s)
         if call.token < worker.token:
             return Failure(Problem(Code.FENCED))
@@ -222,7 +229,7 @@
         clock_ms = worker.get_clock_ms(now_s)
         self._acknowledge(worker, call.acknowledged)
         if call.lease_until_ms is not None:
-            self._grant(worker, call.lease_until_ms, now_s)
+            self._extend_lease(worker, call.lease_until_ms, now_s)
         running = tuple(
             RunningTask(run.task, run.attempt, "", 100) for run in worker.runs.values()
         )
@@ -235,11 +242,11 @@
         for ended in worker.ends:
             if ended.number <= number:
                 run = self._ended[(worker.name, worker.started_ms, ended.number)]
-                run.noted = worker.lapsed_s < run.ended_s
+                run.end_acknowledged = worker.lease_lapsed_s < run.ended_s
         worker.ends = [e for e in worker.ends if e.number > number]
 
     def advance(self, now_s: float) -> None:
-        """Let leases lapse, stops take effect and tasks end."""
+        """Apply all lapsed leases, stops, crashes and ends of tasks that are due."""
         for worker in self.workers.values():
             if worker.dead:
                 continue
@@ -248,11 +255,14 @@
                 worker.listed = False
                 continue
             self._end_lapsed(worker, now_s)
-            if self._is_crashed(worker, now_s):
+            if self._should_crash(worker, now_s):
                 self.kill(worker, now_s)
                 continue
             for run in list(worker.runs.values()):
-                if run.stopping_s is not None and now_s >= run.stopping_s + STOP_S:
+                if (
+                    run.stop_requested_s is not None
+                    and now_s >= run.stop_requested_s + STOP_S
+                ):
                     self._end(worker, run, EndKind.STOPPED, now_s)
         for runs in self._group_runs().values():
             self._advance_group(runs, now_s)
@@ -260,19 +270,22 @@
     def leave(
         self, worker: SimWorker, now_s: float, extra_s: float = 0.0, *, says: bool
     ) -> None:
-        """Have a worker end after it has served on; one that says so stays listed."""
-        worker.stays_until_s = min(worker.stays_until_s, now_s + SERVES_ON_S)
-        worker.ends_s = min(worker.ends_s, now_s + SERVES_ON_S + extra_s)
+        """Have a worker end after ``LEAVE_NOTICE_S`` and ``extra_s`` more.
+
+        A worker that announces (``says``) its leaving stays on the list.
+        """
+        worker.serves_until_s = min(worker.serves_until_s, now_s + LEAVE_NOTICE_S)
+        worker.ends_s = min(worker.ends_s, now_s + LEAVE_NOTICE_S + extra_s)
         worker.leaving = worker.leaving or says
         if not says:
             worker.listed = False
 
     def begin_life(self, former: SimWorker) -> SimWorker:
-        """Have a new worker come up at the address of one that has ended."""
+        """Start a worker under a new name at the address of one that has ended."""
         assert former.dead, f"{former.name} is still up"
-        lives = sum(w.address == former.address for w in self.workers.values())
+        incarnations = sum(w.address == former.address for w in self.workers.values())
         worker = SimWorker(
-            f"{former.address}.{lives}",
+            f"{former.address}.{incarnations}",
             former.rack,
             former.capacity,
             former.rate,
@@ -305,7 +318,7 @@
         return None
 
     def kill(self, worker: SimWorker, now_s: float) -> None:
-        """End a worker with all that runs there."""
+        """End a worker at once, with all its runs."""
         worker.dead = True
         worker.dead_since_s = now_s
         for run in worker.runs.values():
@@ -313,7 +326,7 @@
             run.lost = True
         worker.runs = {}
 
-    def _is_crashed(self, worker: SimWorker, now_s: float) -> bool:
+    def _should_crash(self, worker: SimWorker, now_s: float) -> bool:
         return any(
             self.crashes(run.task) and now_s >= run.began_s + self.crash_after_s
             for run in worker.runs.values()
@@ -322,7 +335,7 @@
     def _end_lapsed(self, worker: SimWorker, now_s: float) -> None:
         if worker.get_clock_ms(now_s) <= worker.lease_until_ms:
             return
-        worker.lapsed_s = now_s
+        worker.lease_lapsed_s = now_s
         for run in list(worker.runs.values()):
             self._end(worker, run, EndKind.LAPSED, now_s)
 
@@ -339,16 +352,16 @@
 
     def _advance_group(self, runs: list[Run], now_s: float) -> None:
         size = self.gangs.get(runs[0].task.rpartition(".")[0], 1)
-        whole = len(runs) == size
-        if whole and runs[0].works_since_s is None:
+        complete = len(runs) == size
+        if complete and runs[0].work_began_s is None:
             for run in runs:
-                run.works_since_s = now_s
-        if not whole:
+                run.work_began_s = now_s
+        if not complete:
             self._break_group(runs, now_s)
             return
-        if now_s < runs[0].works_since_s + self.work_s_of(runs[0].task):
+        if now_s < runs[0].work_began_s + self.work_s_of(runs[0].task):
             return
-        if any(run.stopping_s is not None for run in runs):
+        if any(run.stop_requested_s is not None for run in runs):
             return
         failing = [run for run in runs if self._fails(run.task, run.worker)]
         for run in runs:
@@ -360,9 +373,9 @@
     def _break_group(self, runs: list[Run], now_s: float) -> None:
         for run in runs:
             worker = self.workers[run.worker]
-            if run.works_since_s is not None:
+            if run.work_began_s is not None:
                 self._end(worker, run, EndKind.BROKEN, now_s)
-            elif now_s > run.began_s + GANG_WAIT_S:
+            elif now_s > run.began_s + GANG_TIMEOUT_S:
                 self._end(worker, run, EndKind.ALONE, now_s)
 
     def _end(self, worker: SimWorker, run: Run, kind: EndKind, now_s: float) -> None:
@@ -370,14 +383,14 @@
         run.ended_s = now_s
         run.kind = kind
         worker.number += 1
-        floor = worker.floors.get(run.task, 0)
-        worker.floors[run.task] = max(floor, run.attempt)
+        closed = worker.closed_attempts.get(run.task, 0)
+        worker.closed_attempts[run.task] = max(closed, run.attempt)
         self._ended[(worker.name, worker.started_ms, worker.number)] = run
         worker.ends.append(EndedTask(worker.number, run.task, run.attempt, kind, ""))
 
 
 def make_listed(worker: SimWorker, now_s: float) -> ListedTaskWorker:
-    """Return the platform's entry of a worker."""
+    """Return the entry of a worker on the platform's list."""
     return ListedTaskWorker(
         worker.name,
         "service",
@@ -387,7 +400,7 @@
         frozenset(("a", worker.rack)),
         worker.capacity,
         worker.leaving,
-        max(0.0, worker.stays_until_s - now_s) if worker.leaving else None,
+        max(0.0, worker.serves_until_s - now_s) if worker.leaving else None,
         worker.get_clock_ms(now_s),
         worker.started_ms,
     )
--- a/tests/fleet/test_inherited_leases.py
+++ b/tests/fleet/test_inherited_leases.py
@@ -22,7 +22,7 @@
 from larkhoist.ports.task_worker import RunningTask, WorkerReport
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.checks import check_history
-from tests.fleet.machine import ASK_S, FleetMachine
+from tests.fleet.machine import REPORT_INTERVAL_S, FleetMachine
 
 ONE = StepSpec(count=1, cpu_milli=1000, memory_mb=100, accelerators=1, estimate_ms=900)
 PREDECESSOR_S = 8.0
@@ -74,7 +74,7 @@
     machine.run(0.5)
     crash_for_good(machine, name)
     # A worker that has not fallen silent yet is sent one more renewal.
-    machine.run(ASK_S + get_lapse_s(machine) + SLACK_S)
+    machine.run(REPORT_INTERVAL_S + get_lapse_s(machine) + SLACK_S)
     assert [run.worker == name for run in machine.world.history] == [True, False]
     check_history(machine)
 
--- a/tests/fleet/test_interleavings.py
+++ b/tests/fleet/test_interleavings.py
@@ -108,7 +108,7 @@
     for worker in machine.world.workers.values():
         worker.rate = chance.choice(CLOCK_RATES)
     machine.run(2.0)
-    machine.pass_idle(idle_s)
+    machine.skip_idle_time(idle_s)
     return machine, chance, list(jobs)
 
 
--- a/tests/fleet/test_sequences.py
+++ b/tests/fleet/test_sequences.py
@@ -86,7 +86,7 @@
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), work_s=5.0, lease_s=6.0)
     machine.run(1)
-    machine.lags_s["w0"] = 2.0
+    machine.order_delay_s["w0"] = 2.0
     machine.submit(job)
     machine.run(0.5)
     worker = machine.world.workers["w0"]
@@ -111,8 +111,8 @@
     for worker in machine.world.workers.values():
         worker.rate = SLOWEST
     machine.run(2)
-    machine.pass_idle(600)
-    machine.lags_s["w0"] = late_s
+    machine.skip_idle_time(600)
+    machine.order_delay_s["w0"] = late_s
     machine.submit(job)
     machine.run(0.3)
     assert machine.owner.scheduler.is_busy("w0")
