--- a/tests/fleet/cases.py
+++ b/tests/fleet/cases.py
@@ -1,4 +1,4 @@
-"""Make jobs, workers and machines for the tests of staged jobs."""
+"""Create jobs, workers and simulations for the tests of staged jobs."""
 
 from larkhoist.jobs.spec import JobTerms, StagedJob, StepSpec
 from larkhoist.ports.fleet import Resources
@@ -7,7 +7,7 @@
 
 __all__ = ["make_job", "make_machine", "make_workers", "put_in_halls"]
 
-ROOM = Resources(32_000, 64_000, 8)
+WORKER_CAPACITY = Resources(32_000, 64_000, 8)
 
 
 def make_job(
@@ -19,7 +19,7 @@
     submitted_s: float = 100.0,
     target_ms: int = 1000,
 ) -> StagedJob:
-    """Return a job whose id is its number."""
+    """Return a job whose id is its number in hexadecimal."""
     terms = JobTerms("service", priority, max_attempts, 3.0, target_ms)
     submitted_ms = START_MS + int(submitted_s * 1000)
     return StagedJob(
@@ -28,9 +28,9 @@
 
 
 def put_in_halls(machine: FleetMachine) -> list[str]:
-    """Spread a machine's workers over three halls, one after the other.
+    """Assign the workers to three halls in turn; return the halls.
 
-    Another owner takes over, since a worker's hall is read once.
+    Another owner takes over, since an owner reads a worker's hall only once.
     """
     workers = list(machine.world.workers.values())
     for number, worker in enumerate(workers):
@@ -41,9 +41,9 @@
 
 
 def make_workers(count: int, per_rack: int = 4) -> list[SimWorker]:
-    """Return workers in racks; some clocks run slow."""
+    """Return workers in racks; the clock of every second one is 2 % slow."""
     return [
-        SimWorker(f"w{n}", f"r{n // per_rack}", ROOM, 1.0 - 0.02 * (n % 2))
+        SimWorker(f"w{n}", f"r{n // per_rack}", WORKER_CAPACITY, 1.0 - 0.02 * (n % 2))
         for n in range(count)
     ]
 
@@ -58,7 +58,7 @@
     lease_s: float = LEASE_S,
     predecessor_s: float = PREDECESSOR_S,
 ) -> FleetMachine:
-    """Return a machine that knows ``jobs`` without having accepted them."""
+    """Return a simulation for ``jobs``, of which none is submitted yet."""
     specs = {job.job_id: job for job in jobs}
 
     def get_need(task: str) -> Resources:
--- a/tests/fleet/checks.py
+++ b/tests/fleet/checks.py
@@ -127,7 +127,7 @@
     for on_worker in by_worker.values():
         for run in on_worker:
             at_once = sum(_runs_at(other, run.began_s) for other in on_worker)
-            message = f"{run.worker} ran {at_once} tasks of {phase}, limit {limit}"
+            message = f"{run.worker} has {at_once} tasks of {phase}, {limit} at most"
             assert at_once <= limit, message
 
 
--- a/tests/fleet/cordons.py
+++ b/tests/fleet/cordons.py
@@ -1,30 +1,30 @@
-"""Cordon and open the data halls of a simulated fleet, and check what starts there."""
+"""Cordon and open data halls of a simulated fleet, and check what starts there."""
 
 import random
 
 from tests.fleet.checks import OWNER_SETTLE_S
 from tests.fleet.machine import FleetMachine
 
-__all__ = ["CordonCheck", "CordonDrawer"]
+__all__ = ["CordonCheck", "RandomCordons"]
 
-CORDON_S = 3.0
-"""How soon nothing may start in a cordoned hall any more; less than the users allow."""
-OFTEN = 0.03
-"""How often in a step a hall is cordoned or opened; some 6 changes in 20 s."""
+CORDON_LIMIT_S = 3.0
+"""Time from a cordon until nothing may start there; stricter than required."""
+TOGGLE_PROBABILITY = 0.03
+"""Probability per step that a hall is cordoned or opened; some 6 changes in 20 s."""
 
 
-class CordonDrawer:
-    """Draw which halls are cordoned, also several or all at once."""
+class RandomCordons:
+    """Random cordons of halls, also of several or all at once."""
 
     def __init__(self, machine: FleetMachine, halls: list[str], seed: int):
         self._machine = machine
         self._halls = halls
-        self._chance = random.Random(f"cordons {seed}")
+        self._rng = random.Random(f"cordons {seed}")
 
     def step(self) -> None:
-        """Perhaps cordon a hall that is open, or open one that is cordoned."""
-        if self._chance.random() < OFTEN:
-            self._machine.cordoned ^= {self._chance.choice(self._halls)}
+        """With ``TOGGLE_PROBABILITY``, cordon an open hall or open a cordoned one."""
+        if self._rng.random() < TOGGLE_PROBABILITY:
+            self._machine.cordoned ^= {self._rng.choice(self._halls)}
 
     def end(self) -> None:
         """Open all halls."""
@@ -32,10 +32,10 @@
 
 
 class CordonCheck:
-    """Look, step by step, at what begins in halls that have been cordoned for long.
+    """A check, at each step, that nothing starts in halls that are cordoned.
 
-    Only an owner in touch has to know of a cordon: one that has read the log, and been
-    up, for a while.
+    Starts within ``CORDON_LIMIT_S`` of a cordon do not count, nor those within
+    ``OWNER_SETTLE_S`` of a take-over. The limit restarts while the log is down.
     """
 
     def __init__(self, machine: FleetMachine):
@@ -43,21 +43,21 @@
         self._since_s: dict[str, float] = {}
 
     def look(self) -> None:
-        """Raise ``AssertionError`` where something has begun too late."""
+        """Raise ``AssertionError`` if a run started after the limit."""
         machine = self._machine
-        self._note_cordons()
+        self._update_cordons()
         for worker in machine.world.workers.values():
             since_s = self._since_s.get(worker.hall, float("inf"))
             for run in worker.runs.values():
-                if run.began_s <= since_s + CORDON_S:
+                if run.began_s <= since_s + CORDON_LIMIT_S:
                     continue
-                in_touch = (
-                    run.began_s >= machine.term_began_s[run.term] + OWNER_SETTLE_S
+                settled = run.began_s >= machine.term_began_s[run.term] + OWNER_SETTLE_S
+                too_late = settled and not run.late
+                assert not too_late, (
+                    f"{run.task} started in cordoned hall {worker.hall}"
                 )
-                begun = in_touch and not run.late
-                assert not begun, f"{run.task} began in {worker.hall}, cordoned"
 
-    def _note_cordons(self) -> None:
+    def _update_cordons(self) -> None:
         machine = self._machine
         for hall in list(self._since_s):
             if hall not in machine.cordoned:
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -1,4 +1,4 @@
-"""Check whom the scheduler stops for urgent gangs when they come many at once."""
+"""Check which work the scheduler stops when many urgent gangs arrive at once."""
 
 from msgspec.structs import replace
 
@@ -12,7 +12,7 @@
 GANG = StepSpec(count=2, accelerators=4, estimate_ms=2000, gang=True)
 
 
-def get_running(machine, job) -> int:
+def count_running(machine, job) -> int:
     return sum(
         run.ended_s is None
         for run in machine.world.history
@@ -60,7 +60,7 @@
     machine.run(1)
     machine.submit(claims)
     machine.run(2)
-    assert get_running(machine, claims) == 1
+    assert count_running(machine, claims) == 1
     assert count_stopped(machine, borrowed) == 8
     assert count_stopped(machine, urgent) == 0
 
@@ -77,7 +77,7 @@
     machine.run(2)
     machine.submit(gang)
     machine.run(2)
-    assert get_running(machine, gang) == 1
+    assert count_running(machine, gang) == 1
     assert count_stopped(machine, kept) == 8
     assert count_stopped(machine, young) == 0
 
@@ -112,16 +112,16 @@
 
 
 def test_a_claim_looks_beyond_the_racks_that_only_look_cheap():
-    # Five racks have accelerators to free at no cost, and no processor beside them.
-    hogs = [
+    # In five racks accelerators can be freed at no cost, but no processors are free.
+    cpu_heavy_jobs = [
         make_job(n, StepSpec(1, cpu_milli=31_000), priority=0, customer="bob")
         for n in range(5)
     ]
     cheap = make_job(10, StepSpec(40, accelerators=1, checkpoints=True))
-    dear = make_job(11, StepSpec(1, accelerators=8, estimate_ms=20_000))
+    expensive = make_job(11, StepSpec(1, accelerators=8, estimate_ms=20_000))
     step = StepSpec(1, 10_000, accelerators=8, estimate_ms=9000, gang=True)
     gang = make_job(12, replace(step, same_rack=True), priority=0, submitted_s=105.0)
-    jobs = (*hogs, cheap, dear, gang)
+    jobs = (*cpu_heavy_jobs, cheap, expensive, gang)
     machine = make_machine(6, jobs, {"bob": 8}, work_s=30.0)
     machine.run(1)
     workers = machine.owner.scheduler.state.workers
@@ -129,7 +129,7 @@
         worker.rack = f"r{number}"
     for job in jobs[:-1]:
         machine.submit(job)
-        machine.run(1 if job is dear else 0.5)
+        machine.run(1 if job is expensive else 0.5)
     machine.submit(gang)
     machine.run(3)
-    assert get_running(machine, gang) == 1
+    assert count_running(machine, gang) == 1
--- a/tests/fleet/test_cordons.py
+++ b/tests/fleet/test_cordons.py
@@ -1,6 +1,6 @@
-"""Have nothing new start in a data hall that operators have cordoned.
+"""Check that nothing new starts in a data hall that operators have cordoned.
 
-Nothing read the operators' wish: 391 tasks started in a cordoned hall on one day.
+Cordons were not read at first: 391 tasks started in a cordoned hall on one day.
 """
 
 import pytest
@@ -10,7 +10,7 @@
 from larkhoist.jobs.spec import StepSpec
 from tests.fleet.cases import make_job, make_machine, put_in_halls
 from tests.fleet.checks import check_history, check_outcomes, check_running
-from tests.fleet.cordons import CordonCheck, CordonDrawer
+from tests.fleet.cordons import CordonCheck, RandomCordons
 from tests.fleet.disturbances import Disturber
 from tests.fleet.machine import FleetMachine
 from tests.fleet.progress import look_for_stand_stills
@@ -18,7 +18,7 @@
 
 SEEDS = 40
 FAULTY_S = 40.0
-QUIET_S = 150.0
+RECOVERY_S = 150.0
 SETTLE_S = 5.0
 ONE = StepSpec(count=1, accelerators=1, cpu_milli=1000)
 WHOLE = StepSpec(count=4, accelerators=8, cpu_milli=1000)
@@ -94,9 +94,11 @@
 
 
 def test_room_that_is_kept_for_urgent_work_moves_out_of_a_cordoned_hall():
-    # Its claim stops work in each of three halls; one is cordoned meanwhile.
-    keeping = StepSpec(count=9, accelerators=8, cpu_milli=1000, checkpoints=True)
-    load = make_job(1, keeping, customer="bob")
+    # The claim stops work in three halls; one is cordoned before the gang starts.
+    with_checkpoints = StepSpec(
+        count=9, accelerators=8, cpu_milli=1000, checkpoints=True
+    )
+    load = make_job(1, with_checkpoints, customer="bob")
     urgent = make_job(
         2, StepSpec(count=3, accelerators=8, cpu_milli=1000, gang=True), priority=0
     )
@@ -114,8 +116,8 @@
 
 
 def test_guarantees_are_counted_against_the_halls_that_are_open():
-    # Of 64 accelerators in open halls 48 are guaranteed: work that can't be stopped
-    # cheaply may take two of the three workers that are free.
+    # Of 64 accelerators in open halls 48 are guaranteed: work without checkpoints,
+    # which is expensive to stop, may take two of the three free workers.
     whole = StepSpec(count=5, accelerators=8, cpu_milli=20_000, checkpoints=True)
     load = make_job(1, whole)
     job = make_job(2, replace(whole, checkpoints=False), customer="bob")
@@ -126,32 +128,32 @@
     machine.run(1.0)
     machine.submit(job)
     machine.run(1.0)
-    begun = [r for r in machine.world.history if r.task.startswith(job.job_id)]
-    assert len(begun) == 2
+    started = [r for r in machine.world.history if r.task.startswith(job.job_id)]
+    assert len(started) == 2
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_no_promise_breaks_beside_cordons(seed):
-    machine, chance, waiting = create_play(seed)
-    drawer = CordonDrawer(machine, put_in_halls(machine), seed)
+    machine, rng, waiting = create_play(seed)
+    random_cordons = RandomCordons(machine, put_in_halls(machine), seed)
     check = CordonCheck(machine)
-    disturber = Disturber(machine, chance, chance.choice((0.0, 5.0, 10.0)))
+    disturber = Disturber(machine, rng, rng.choice((0.0, 5.0, 10.0)))
     until_s = machine.now_s + FAULTY_S
     while machine.now_s < until_s:
-        if waiting and chance.random() < 0.1:
+        if waiting and rng.random() < 0.1:
             machine.submit(waiting.pop())
-        drawer.step()
+        random_cordons.step()
         disturber.step()
         machine.step()
         check_running(machine)
         check.look()
-    drawer.end()
+    random_cordons.end()
     disturber.end()
     for job in waiting:
         machine.submit(job)
     machine.run(SETTLE_S + machine.world.lease_s)
     stills = StandStills(any_rack=True)
-    until_s = machine.now_s + QUIET_S
+    until_s = machine.now_s + RECOVERY_S
     while machine.now_s < until_s:
         disturber.step()
         machine.step()
--- a/tests/fleet/test_inherited_leases.py
+++ b/tests/fleet/test_inherited_leases.py
@@ -1,17 +1,17 @@
-"""Believe no longer than the longest lease in what runs on a worker that has answered.
+"""Check that an answer limits the lease which a new owner assumes on a worker.
 
-A worker crashed for good half a second after an owner had taken over, and its tasks
-were believed to run until 4.06 s, where the lease of 2 s was over at 2.4 s. With leases
-of 10 s the same crash was believed in for 18.1 s, 18.6 s after the owner had begun:
+A worker crashed permanently half a second after a take-over. Its tasks counted as
+running until 4.06 s, although the lease of 2 s ended at 2.4 s. With leases of 10 s they
+counted as running for 18.1 s, until 18.6 s after the take-over:
 
     worker-idle worker=w0 reason=lease_over tasks=1 heard_age_s=18.4
 
-A new owner took it that a former one renews each lease for 8 s more, also on workers
-that it had asked itself. A worker keeps the highest token that it has seen and does
-nothing for a lower one, so that no former owner renews there after such an answer. The
-first one now brings the belief down to one longest lease from then, but never below
-what this owner granted itself: 10.9 s in the same case, since the owner sends one more
-renewal before it sees that the worker is silent.
+A new owner assumed that a former one renews each lease for 8 s more, even on workers
+that had already answered the new owner. A worker keeps the highest token that it has
+seen and rejects calls with a lower one, so no former owner can renew there after such
+an answer. The first answer now limits the assumed end to one longest lease from then,
+but never below what this owner granted itself: 10.9 s in the same case, since the owner
+sends one more renewal before it finds that the worker does not answer.
 """
 
 import pytest
@@ -27,11 +27,11 @@
 ONE = StepSpec(count=1, cpu_milli=1000, memory_mb=100, accelerators=1, estimate_ms=900)
 PREDECESSOR_S = 8.0
 SLACK_S = 0.3
-"""A step until the owner has decided, one until the log has it, one for rounding."""
+"""One step until the owner decides, one until the log has it, one for rounding."""
 
 
 def take_over() -> tuple[FleetMachine, str]:
-    """Return a machine that a new owner has begun on, and where its one task runs."""
+    """Return a simulation after a take-over, and the worker that runs its one task."""
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), work_s=60.0, predecessor_s=PREDECESSOR_S)
     machine.submit(job)
@@ -41,14 +41,16 @@
     return machine, run.worker
 
 
-def crash_for_good(machine: FleetMachine, name: str) -> None:
+def crash_permanently(machine: FleetMachine, name: str) -> None:
     worker = machine.world.workers[name]
     machine.world.kill(worker, machine.now_s)
     worker.listed = False
 
 
-def answer(machine: FleetMachine, name: str, asked_s: float, now_s: float) -> None:
-    """Have the owner take a report on what it believes to run, at ``now_s``."""
+def deliver_report(
+    machine: FleetMachine, name: str, asked_s: float, now_s: float
+) -> None:
+    """Deliver a report at ``now_s`` that confirms all tasks the owner knows there."""
     tasks = sorted(get_worker(machine, name).tasks)
     running = tuple(RunningTask(task, 1, "", 100) for task in tasks)
     report = WorkerReport(0, running, ())
@@ -67,27 +69,27 @@
 def test_work_goes_on_one_lease_after_the_last_call(listed):
     machine, name = take_over()
     if not listed:
-        # The new owner knows it by what the log says of its task alone.
+        # The new owner knows the worker only from the log's record of its task.
         machine.world.workers[name].listed = False
         machine.step()
         machine.replace_owner()
     machine.run(0.5)
-    crash_for_good(machine, name)
-    # A worker that has not fallen silent yet is sent one more renewal.
+    crash_permanently(machine, name)
+    # The owner sends one more renewal before the worker counts as silent.
     machine.run(REPORT_INTERVAL_S + get_lapse_s(machine) + SLACK_S)
     assert [run.worker == name for run in machine.world.history] == [True, False]
     check_history(machine)
 
 
 def test_an_answer_counts_from_when_it_is_taken():
-    # A former owner may have renewed while the answer was on its way; a later report
-    # that overtakes it proves no less, and the earlier one then proves no more.
+    # A former owner may have renewed while the answer was in transit. If a later report
+    # arrives first, the earlier one changes nothing.
     machine, name = take_over()
     worker, lapse_s = get_worker(machine, name), get_lapse_s(machine)
     began_s = machine.now_s
-    answer(machine, name, began_s + 1.0, began_s + 2.0)
+    deliver_report(machine, name, began_s + 1.0, began_s + 2.0)
     assert worker.lease_end_s == began_s + 2.0 + lapse_s
-    answer(machine, name, began_s, began_s + 3.0)
+    deliver_report(machine, name, began_s, began_s + 3.0)
     assert worker.lease_end_s == began_s + 2.0 + lapse_s
 
 
@@ -96,7 +98,7 @@
     worker, policy = get_worker(machine, name), machine.owner.scheduler.state.policy
     granted_s = machine.now_s + 2.0
     machine.owner.scheduler.grant_lease(name, granted_s)
-    answer(machine, name, machine.now_s, machine.now_s + 0.5)
+    deliver_report(machine, name, machine.now_s, machine.now_s + 0.5)
     assert worker.lease_end_s == granted_s + policy.lapse_s
 
 
@@ -104,13 +106,13 @@
     machine, name = take_over()
     worker = get_worker(machine, name)
     over_s = worker.lease_end_s
-    answer(machine, name, over_s - 1.0, over_s - 0.5)
+    deliver_report(machine, name, over_s - 1.0, over_s - 0.5)
     assert worker.lease_end_s == over_s
 
 
 def test_a_worker_listed_again_keeps_what_its_answer_proved():
     machine, name = take_over()
-    answer(machine, name, machine.now_s, machine.now_s)
+    deliver_report(machine, name, machine.now_s, machine.now_s)
     scheduler, entries = machine.owner.scheduler, machine._list_workers()
     over_s = get_worker(machine, name).lease_end_s
     rest = [entry for entry in entries if entry.name != name]
@@ -128,7 +130,7 @@
 
 
 def test_a_refusal_is_no_answer():
-    # A worker that refuses has done nothing: it may not have kept the token.
+    # A worker that refuses a call may not have stored its token.
     machine, name = take_over()
     worker = get_worker(machine, name)
     over_s = worker.lease_end_s
@@ -140,11 +142,11 @@
 
 
 def test_a_belief_is_not_begun_anew_by_each_owner():
-    # Each owner counts what a former one may have granted from its own beginning, on a
-    # worker that it has not heard from: with owners of 5 s for a minute, work that had
-    # died with its worker was started again after 75 s.
+    # On a worker that has not answered, each owner counts the leases of former owners
+    # from its own take-over. With owners of 5 s for a minute, work that was lost with
+    # its worker was started again only after 75 s.
     machine, name = take_over()
-    crash_for_good(machine, name)
+    crash_permanently(machine, name)
     bound_s = machine.predecessor_s + get_lapse_s(machine) + SLACK_S
     until_s = machine.now_s + bound_s
     while machine.now_s < until_s:
--- a/tests/fleet/test_owner_changes.py
+++ b/tests/fleet/test_owner_changes.py
@@ -1,12 +1,12 @@
-"""Have work go on while owners change again and again.
-
-Where instances are restarted in turn, the owner first, each owner lasts for about a
-second: the tenure's stream then grows by 4 to 5 records a second (75 in 15.2 s were
-seen), where one holder writes 3.2. A step whose turn came meanwhile stood still beside
-room. Room is kept from work for guarantees and urgent work, and the step's wait ends
-that; but a new owner did not know how long a former one had let it wait, and took it
-that 1 s was left. With owners of 0.9 to 1.1 s, beside work that fills the processors,
-300 of 300 drawn plays had work that stood still.
+"""Check that work goes on while the owner changes repeatedly.
+
+In a rolling restart that always takes the owner first, each owner lasts about a second:
+the tenure's stream then grows by 4 to 5 records a second (75 in 15.2 s), where a single
+holder writes 3.2. Steps that became due meanwhile stood still beside free room. Room
+that is reserved for guarantees and urgent work is released to a step that has waited
+long enough, but a new owner did not know how long the step had waited under former
+owners and assumed that 1 s was left. With owners of 0.9 to 1.1 s, beside work that
+fills the processors, work stood still in 300 of 300 random simulations.
 """
 
 import random
@@ -22,11 +22,11 @@
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.machine import FleetMachine
 from tests.fleet.progress import look_for_stand_stills
-from tests.fleet.test_progress import HEAVY, NARROW, has_begun, make_held
+from tests.fleet.test_progress import CPU_HEAVY, NARROW, has_begun, make_loaded_machine
 
 
 def change_owners(machine: FleetMachine, term_s: float, seconds: float) -> StandStills:
-    """Replace the owner each ``term_s``; return what stood still meanwhile."""
+    """Replace the owner every ``term_s``; return what stood still meanwhile."""
     stills = StandStills(any_rack=True)
     until_s = machine.now_s + seconds
     changed_s = machine.now_s
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("term_s", [0.6, 0.8, 1.0, 1.4])
 def test_a_hold_ends_though_owners_change_often(term_s):
-    machine, job = make_held()
+    machine, job = make_loaded_machine()
     machine.submit(job)
     assert change_owners(machine, term_s, 10.0).found == {}
     assert has_begun(machine, job)
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("term_s", [0.6, 1.0])
 def test_a_later_step_is_not_held_though_owners_change_often(term_s):
-    load = make_job(1, HEAVY)
+    load = make_job(1, CPU_HEAVY)
     later = StepSpec(
         count=4, cpu_milli=2800, memory_mb=4000, accelerators=1, depends_on=(0,)
     )
@@ -69,10 +69,10 @@
 
 
 def play(seed: int) -> None:
-    """Draw owners of about 1 s, and small jobs beside work that fills processors."""
-    chance = random.Random(seed)
-    loads = [make_job(number, HEAVY) for number in range(1, 4)]
-    small = [make_job(number, *_draw_steps(chance)) for number in range(4, 14)]
+    """Simulate small jobs and work that fills processors, with owners of about 1 s."""
+    rng = random.Random(seed)
+    loads = [make_job(number, CPU_HEAVY) for number in range(1, 4)]
+    small = [make_job(number, *_draw_steps(rng)) for number in range(4, 14)]
     guarantees = {"ann": 24, "bob": 24}
     machine = make_machine(6, (*loads, *small), guarantees, seed, work_s=20.0)
     heavy = {job.job_id for job in loads}
@@ -83,27 +83,27 @@
     while machine.now_s < started_s + 50.0:
         if loads and machine.now_s >= started_s + 18.0 * (3 - len(loads)):
             machine.submit(loads.pop())
-        if waiting and chance.random() < 0.05:
+        if waiting and rng.random() < 0.05:
             machine.submit(waiting.pop())
         if machine.now_s >= next_s:
-            next_s = machine.now_s + chance.uniform(0.9, 1.1)
+            next_s = machine.now_s + rng.uniform(0.9, 1.1)
             machine.replace_owner()
         machine.step()
         look_for_stand_stills(machine, stills)
     assert stills.found == {}
 
 
-def _draw_steps(chance: random.Random) -> list[StepSpec]:
-    first = replace(NARROW, count=chance.randint(1, 3))
-    second = replace(NARROW, count=chance.randint(1, 4), depends_on=(0,))
-    return [first, second][: chance.randint(1, 2)]
+def _draw_steps(rng: random.Random) -> list[StepSpec]:
+    first = replace(NARROW, count=rng.randint(1, 3))
+    second = replace(NARROW, count=rng.randint(1, 4), depends_on=(0,))
+    return [first, second][: rng.randint(1, 2)]
 
 
-DAY_MS = 1_700_000_000_000
+BASE_MS = 1_700_000_000_000
 STEPS = (NARROW, NARROW, replace(NARROW, depends_on=(0, 1)))
 
 
-def keep(step: int, since_ms: int) -> PhaseProgress:
+def make_progress(step: int, since_ms: int) -> PhaseProgress:
     phase = PhaseId("0000000000000001", 0, step)
     return PhaseProgress(phase, (TaskProgress(),), since_ms=since_ms)
 
@@ -111,15 +111,19 @@
 @pytest.mark.parametrize(
     ("step", "kept", "since_ms"),
     [
-        # A first step waits since its job was submitted, or as its own record says.
-        (0, [], DAY_MS + 100_000),
-        (0, [keep(0, DAY_MS + 5)], DAY_MS + 5),
-        # A later one waits since the last of those before it was done.
-        (2, [keep(0, DAY_MS + 7), keep(1, DAY_MS + 9)], DAY_MS + 9),
-        (2, [keep(0, DAY_MS + 7)], None),
-        # Records of former versions do not tell.
-        (0, [keep(0, 0)], None),
-        (2, [keep(0, 0), keep(1, DAY_MS + 9)], None),
+        # A first step waits since its job was submitted, unless its record says else.
+        (0, [], BASE_MS + 100_000),
+        (0, [make_progress(0, BASE_MS + 5)], BASE_MS + 5),
+        # A later step waits since the last of its dependencies was completed.
+        (
+            2,
+            [make_progress(0, BASE_MS + 7), make_progress(1, BASE_MS + 9)],
+            BASE_MS + 9,
+        ),
+        (2, [make_progress(0, BASE_MS + 7)], None),
+        # Records of former versions do not hold the time.
+        (0, [make_progress(0, 0)], None),
+        (2, [make_progress(0, 0), make_progress(1, BASE_MS + 9)], None),
     ],
 )
 def test_since_when_a_step_waits_by_the_log(step, kept, since_ms):
@@ -133,12 +137,12 @@
     ("since_s", "waited_s"), [(-30.0, 30.0), (-0.5, 0.5), (0.1, 0.0), (3.0, 2.0)]
 )
 def test_a_clock_that_is_ahead_begins_no_wait_anew(since_s, waited_s):
-    # With the clock of a former owner 3 s ahead, each new owner took a wait as begun at
-    # that moment, and work was held for 5 s while owners changed.
+    # With the clock of a former owner 3 s ahead, each new owner counted the wait from
+    # its own take-over, and work was held back for 5 s while owners changed.
     machine = make_machine(2)
     job = make_job(1, NARROW, submitted_s=machine.now_s - 60.0)
     since_ms = machine.now_ms + int(1000 * since_s)
-    progress = keep(0, since_ms)
+    progress = make_progress(0, since_ms)
     entry = BookEntry(job=job, phases={progress.phase: progress})
     scheduler = machine.owner.scheduler
     scheduler.add_job(entry, machine.now_s, machine.now_ms)
--- a/tests/fleet/test_progress.py
+++ b/tests/fleet/test_progress.py
@@ -1,18 +1,18 @@
-"""Have work go on within seconds while there is room for it.
+"""Check that work starts within seconds while there is room for it.
 
-Accepted jobs had nothing running for up to 20 s, while dozens of accelerators were
-free and nobody claimed them; then their tasks all started in one moment. Room that
-guarantees cover was kept from work without checkpoints until half of all room was free,
-counted by the scarcest of processor, memory and accelerators; no time ended that, and
-who came later could go first:
+Accepted jobs had no running task for up to 20 s while dozens of accelerators were free
+and not claimed; then all their tasks started at the same time. Room covered by
+guarantees was withheld from work without checkpoints until half of all room was free,
+counted by the scarcest of processor, memory and accelerators. No time limit ended that,
+and later jobs could start first:
 
     event=waits reason="guarantees need the room" tier=timely tasks=8
         eligible_workers=20 free_accelerators=63 borrowable=0
     event=start-decided attempt=1 tasks=1 waited_s=15.741
 
-In drawn plays one task of one accelerator waited for 72 s beside 14 free ones. Work was
-held up in the same way by other preferences that no time ended: by workers on which it
-had failed, though all others were full, and by workers in quarantine.
+In random simulations one task of one accelerator waited for 72 s beside 14 free ones.
+Other preferences without a time limit held work up as well: to avoid workers on which
+it had failed, though all others were full, and to avoid workers in quarantine.
 """
 
 import random
@@ -35,29 +35,29 @@
 
 FAULTY_S = 30.0
 SETTLE_S = 15.0
-"""After the last fault: longer than a lease and a take-over."""
-LOOKED_S = 60.0
-LOOKED_CALM_S = 40.0
+"""Time after the last fault; longer than a lease and a take-over."""
+CHECKED_S = 60.0
+CHECKED_CALM_S = 40.0
 SEEDS = (*range(20), 69, 84, 123, 145, 200, 216, 221, 239, 314, 376)
-"""Some drawn plays, and those that stood still in one way each."""
+"""Some seeds, and those in which work stood still for different causes."""
 CALM_SEEDS = (*range(12), 69, 123, 252)
-"""Some drawn plays, and those that stand still if preferences end after 6 s."""
+"""Some seeds, and those in which work stands still if preferences end after 6 s."""
 NARROW = StepSpec(count=1, cpu_milli=2800, memory_mb=4000, accelerators=1)
-HEAVY = StepSpec(
+CPU_HEAVY = StepSpec(
     count=12, cpu_milli=13_000, memory_mb=26_000, accelerators=1, checkpoints=True
 )
-"""Two fill a worker's processor and memory and leave most of its accelerators."""
+"""Two tasks fill a worker's processors and memory but few of its accelerators."""
 WHOLE = StepSpec(count=1, accelerators=8, cpu_milli=2800, memory_mb=4000)
 
 
 def test_no_hold_keeps_work_from_room_that_nobody_claims():
-    machine, job = make_held()
+    machine, job = make_loaded_machine()
     machine.submit(job)
     assert run_and_look(machine, 10.0).found == {}
 
 
 def test_a_new_owner_does_not_begin_the_wait_anew():
-    machine, job = make_held()
+    machine, job = make_loaded_machine()
     machine.submit(job)
     machine.run(1.0)
     machine.replace_owner()
@@ -66,7 +66,7 @@
 
 
 def test_every_task_that_lasts_is_started_again_beside_others():
-    load = make_job(1, HEAVY)
+    load = make_job(1, CPU_HEAVY)
     lasting = make_job(2, StepSpec(count=2, accelerators=4, long_running=True))
     guarantees = {"ann": 24, "bob": 24}
     machine = make_machine(
@@ -126,14 +126,14 @@
 
 @pytest.mark.parametrize("seed", [667, 1316, 1458])
 def test_nothing_stands_still_on_a_last_attempt(seed):
-    # One more failure would end the job, and only workers in quarantine have room: it
-    # would rather wait until they have failed nothing for 6 s.
+    # One more failure would end the job, and only workers in quarantine have room: the
+    # scheduler prefers to wait until nothing has failed on them for 6 s.
     assert play(seed, 0.0).found == {}
 
 
-def make_held() -> tuple[FleetMachine, object]:
-    """Return a machine with a load that leaves accelerators, and a job beside it."""
-    load, job = make_job(1, HEAVY), make_job(2, NARROW)
+def make_loaded_machine() -> tuple[FleetMachine, object]:
+    """Return a simulation whose load leaves accelerators free, and a job to submit."""
+    load, job = make_job(1, CPU_HEAVY), make_job(2, NARROW)
     machine = make_machine(6, (load, job), {"ann": 24, "bob": 24}, work_s=30.0)
     machine.submit(load)
     machine.run(1.0)
@@ -141,7 +141,10 @@
 
 
 def fail_once(ends: tuple[str, ...]):
-    """Return what fails the first run of each task by the name's or worker's end."""
+    """Return a predicate that fails the first run of a task on each worker.
+
+    It applies if the task's name ends with one of ``ends``, or if the worker is one.
+    """
     failed = set()
 
     def fails(task: str, worker: str) -> bool:
@@ -159,61 +162,63 @@
 
 
 def play(seed: int, often: float) -> StandStills:
-    """Draw jobs and disturbances, and look for what stands still once they are over.
+    """Simulate random jobs and faults; return what stands still after the faults.
 
-    ``often`` is how many of a hundred steps bring a disturbance.
+    ``often`` is the percentage of steps that inject a fault.
     """
-    played = _disturb(often, *create_play(seed))
+    played = _run_with_faults(often, *create_play(seed))
     played.machine.run(SETTLE_S)
     stills = StandStills(any_rack=True)
-    _go_on(played, LOOKED_S, lambda machine: look_for_stand_stills(machine, stills))
+    _run_and_check(
+        played, CHECKED_S, lambda machine: look_for_stand_stills(machine, stills)
+    )
     return stills
 
 
 def play_calm(seed: int, often: float) -> StandStills:
-    """Do the same, but look from the first calm on, as the users do."""
+    """Simulate the same with the deployed times; check each calm period."""
     drawn = create_play(seed, USERS_LEASE_S, USERS_PREDECESSOR_S)
-    played = _disturb(often, *drawn)
+    played = _run_with_faults(often, *drawn)
     calm = CalmLook()
-    _go_on(played, LOOKED_CALM_S, calm.look)
+    _run_and_check(played, CHECKED_CALM_S, calm.look)
     return calm.stills
 
 
 @dataclass(frozen=True, slots=True)
-class _Played:
-    """Hold a play whose disturbances are over, and the jobs it has still to get."""
+class _FaultedRun:
+    """A simulation after its faults, with the jobs that are not submitted yet."""
 
     machine: FleetMachine
-    chance: random.Random
+    rng: random.Random
     waiting: list[StagedJob]
     disturber: Disturber
 
 
-def _disturb(
+def _run_with_faults(
     often: float,
     machine: FleetMachine,
-    chance: random.Random,
+    rng: random.Random,
     waiting: list[StagedJob],
-) -> _Played:
-    disturber = Disturber(machine, chance, often)
+) -> _FaultedRun:
+    disturber = Disturber(machine, rng, often)
     until_s = machine.now_s + FAULTY_S
     while machine.now_s < until_s:
-        if len(waiting) > 6 and chance.random() < 0.05:
+        if len(waiting) > 6 and rng.random() < 0.05:
             machine.submit(waiting.pop())
         disturber.step()
         machine.step()
     disturber.end()
-    return _Played(machine, chance, waiting, disturber)
+    return _FaultedRun(machine, rng, waiting, disturber)
 
 
-def _go_on(
-    played: _Played, seconds: float, look: Callable[[FleetMachine], None]
+def _run_and_check(
+    played: _FaultedRun, seconds: float, look: Callable[[FleetMachine], None]
 ) -> None:
-    """Let time pass in which the rest of the jobs come, and look at each step."""
+    """Advance time, submit the remaining jobs and call ``look`` after each step."""
     machine = played.machine
     until_s = machine.now_s + seconds
     while machine.now_s < until_s:
-        if played.waiting and played.chance.random() < 0.02:
+        if played.waiting and played.rng.random() < 0.02:
             machine.submit(played.waiting.pop())
         played.disturber.step()
         machine.step()
--- a/tests/fleet/test_sequences.py
+++ b/tests/fleet/test_sequences.py
@@ -1,6 +1,6 @@
-"""Check that an attempt counts as over only where it surely does not run.
+"""Check that an attempt counts as over only if it cannot be running any more.
 
-Each test is the smallest sequence of one cause.
+Each test is a minimal sequence of events for one cause.
 """
 
 import dataclasses
@@ -16,12 +16,12 @@
 
 ONE = StepSpec(count=1, cpu_milli=1000, memory_mb=100, accelerators=1, estimate_ms=900)
 
-SLOWEST = 0.98
-"""How slow the clock of a worker may run, as a rate."""
+MIN_CLOCK_RATE = 0.98
+"""Lowest rate of a worker's clock."""
 
 
 def start_one(work_s: float = 5.0, lease_s: float = 6.0, **terms):
-    """Return a machine of two workers, the job and where its one task runs."""
+    """Return a simulation of two workers, its job and the worker that runs the task."""
     job = make_job(1, ONE, **terms)
     machine = make_machine(2, (job,), work_s=work_s, lease_s=lease_s)
     machine.submit(job)
@@ -64,7 +64,7 @@
 
 
 def test_a_leaving_worker_may_fail_its_task_for_the_last_time():
-    # The end is read in the step in which the entry is seen to be gone.
+    # The end is read in the step in which the entry has disappeared from the list.
     machine, _, worker = start_one(max_attempts=1)
     scheduler, now_s = machine.owner.scheduler, machine.now_s
     (run,) = machine.world.history
@@ -105,11 +105,11 @@
 def test_a_start_that_acts_late_after_a_long_idle_spell_ends_within_the_bound(
     lease_s, late_s
 ):
-    # The estimate of a clock that is 2 % slow has run ahead of it meanwhile.
+    # During the idle time the estimate has run ahead of a clock that is 2 % slow.
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), work_s=30.0, lease_s=lease_s)
     for worker in machine.world.workers.values():
-        worker.rate = SLOWEST
+        worker.rate = MIN_CLOCK_RATE
     machine.run(2)
     machine.skip_idle_time(600)
     machine.order_delay_s["w0"] = late_s
@@ -128,8 +128,8 @@
 ):
     clock = WorkerClock(0, 0.0)
     until_s = clock.get_lease_until_ms(idle_s, lease_s) / 1000
-    as_sent_s = until_s / SLOWEST - idle_s
-    as_cut_s = late_s + lease_s / SLOWEST
+    as_sent_s = until_s / MIN_CLOCK_RATE - idle_s
+    as_cut_s = late_s + lease_s / MIN_CLOCK_RATE
     longest_s = min(as_sent_s, as_cut_s)
     assert longest_s <= FleetPolicy(lease_s=lease_s).lapse_s
 
@@ -159,7 +159,7 @@
     )
     machine.submit(job)
     machine.run(30)
-    assert machine.book.get(job.job_id).outcome is not None, "the gang waits for ever"
+    assert machine.book.get(job.job_id).outcome is not None, "the gang never ended"
 
 
 def test_a_worker_that_refuses_a_start_does_not_hold_it_up_while_others_are_free():
@@ -169,4 +169,4 @@
     machine.world.workers["w0"].refusing_until_s = machine.now_s + 5
     machine.submit(job)
     machine.run(1)
-    assert machine.world.history, "asked w0 alone, again and again"
+    assert machine.world.history, "the start was sent to w0 only"
