--- a/tests/fleet/progress.py
+++ b/tests/fleet/progress.py
@@ -13,9 +13,9 @@
 __all__ = ["CalmLook", "look_for_stand_stills", "run_and_look"]
 
 CALM_S = 4.0
-"""Time without events after which work must not stand still."""
+"""Time without events after which work must not stand still; a requirement."""
 IDLE_LIMIT_S = 6.0
-"""Time after the end of its last run for which a long-running task may be idle."""
+"""Time for which a long-running task may be idle after a run; a requirement."""
 
 
 @dataclass(slots=True)
