--- a/src/larkhoist/jobs/__init__.py
+++ b/src/larkhoist/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Hold staged jobs: what they ask for, and their state as the log tells it."""
+"""Define staged jobs, their records on the log and the state built from these."""
--- a/src/larkhoist/jobs/book.py
+++ b/src/larkhoist/jobs/book.py
@@ -1,7 +1,7 @@
-"""Fold the log's records into the state of every staged job.
+"""Build the state of every staged job from the records on the log.
 
-Every instance keeps a book; it is what callers are answered from and what a new
-owner starts with.
+Every instance keeps a job book. Queries of callers are answered from it, and a new
+owner loads its jobs from it.
 """
 
 import logging
@@ -36,7 +36,7 @@
 
 
 class JobState(Enum):
-    """Name the states that a caller is shown."""
+    """State of a job as shown to callers."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -54,10 +54,11 @@
 
 @dataclass(slots=True)
 class BookEntry:
-    """Hold what the log says of one job; records of a job may come in any order.
+    """State of one job; its records may be applied in any order.
 
-    Of an ended job, ``job`` may be gone. ``phases`` is what the owner took over. Where
-    part of it is ``unreadable``, nobody knows what may run or has run of the job.
+    ``job`` may be None once the job has ended. ``phases`` is the progress that this
+    instance read when it became the owner. If a record of it can't be decoded,
+    ``unreadable`` is set: it is unknown which tasks of the job run or have run.
     """
 
     job: StagedJob | None = None
@@ -78,17 +79,17 @@
 
     @property
     def customer(self) -> str:
-        """Return the name of the customer, empty where the queue was public."""
+        """Return the name of the customer, empty for a job of a public queue."""
         if self.job is not None:
             return self.job.customer
         return self.outcome.customer if self.outcome is not None else ""
 
 
 class JobBook:
-    """Hold the entries of all jobs by id.
+    """Entries of all jobs by id.
 
-    ``remaining_leases_s`` is how long leases of silent workers may last, by worker, in
-    seconds from when the progress was taken over.
+    ``remaining_leases_s`` is the longest time for which the leases of silent workers
+    may last, by worker, in seconds from when the progress was loaded.
     """
 
     def __init__(self):
@@ -96,36 +97,36 @@
         self.remaining_leases_s: dict[str, float] = {}
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
-        """Start anew from the newest record of each key."""
+        """Rebuild all entries from the newest record of each key."""
         self.entries = {}
         for record in records:
             self.apply(record)
 
     def apply(self, record: StoredRecord) -> JobRecord | None:
-        """Take one record of the log over; return it decoded.
+        """Apply one record of the log and return it decoded.
 
-        None means that the record dropped a key or can't be read.
+        Returns None if the record removes its key or can't be decoded.
         """
         if not record.value:
-            self._drop(record.key)
+            self._remove_key(record.key)
             return None
         try:
             decoded = decode_job_record(record.value)
         except msgspec.DecodeError as error:
             _log_unreadable(JOB_STREAM, record, error)
             return None
-        self._take(decoded)
+        self._apply_decoded(decoded)
         return decoded
 
     def get(self, job_id: str) -> BookEntry | None:
-        """Return the entry of an accepted job."""
+        """Return the entry of an accepted job, None if there is none."""
         entry = self.entries.get(job_id)
         if entry is None or (entry.job is None and entry.outcome is None):
             return None
         return entry
 
     def count_waiting(self, queue: str) -> int:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return how many accepted jobs of a queue have not started."""
         return sum(
             entry.job is not None
             and entry.job.queue == queue
@@ -134,20 +135,20 @@
         )
 
     def take_progress(self, records: Iterable[StoredRecord]) -> list[PhaseId]:
-        """Take over the progress of all jobs in place of what was known of it.
+        """Replace the progress of all jobs by the one in ``records``.
 
-        Returns the phases of jobs that are closed: their owner died before it had
-        dropped them.
+        Returns phases that belong to no open job. They remain on the log if an owner
+        stops after closing a job and before removing its progress.
         """
         for entry in self.entries.values():
             entry.phases = {}
             entry.unreadable = False
         self.remaining_leases_s = {}
-        left_over = []
+        orphaned = []
         for record in records:
             match _decode_progress(record):
                 case None:
-                    self._note_unreadable(record.key)
+                    self._mark_unreadable(record.key)
                 case RemainingLeases(remaining_ms):
                     self.remaining_leases_s = {
                         name: left_ms / 1000 for name, left_ms in remaining_ms.items()
@@ -155,45 +156,45 @@
                 case PhaseProgress(phase) as progress:
                     entry = self.entries.get(phase.job_id)
                     if entry is None or entry.job is None:
-                        left_over.append(phase)
+                        orphaned.append(phase)
                     else:
                         entry.phases[phase] = progress
-        return left_over
+        return orphaned
 
-    def _note_unreadable(self, key: str) -> None:
-        """Hold a job of whose progress a part can't be read: it might run twice."""
+    def _mark_unreadable(self, key: str) -> None:
+        """Mark a job as not to be scheduled, since its tasks might run twice."""
         job_id = key[1:].partition(".")[0]
         entry = self.entries.get(job_id)
         if entry is not None:
             entry.unreadable = True
 
     def list_expired(self, before_ms: int) -> list[str]:
-        """Return the jobs that ended before a time (Unix milliseconds)."""
+        """Return the ids of jobs that ended before a time (Unix milliseconds)."""
         return [
             job_id
             for job_id, entry in self.entries.items()
             if entry.outcome is not None and entry.outcome.at_ms < before_ms
         ]
 
-    def _take(self, record: JobRecord) -> None:
+    def _apply_decoded(self, record: JobRecord) -> None:
         match record:
             case JobAccepted(job):
-                entry = self._open(job.job_id)
+                entry = self._get_or_create(job.job_id)
                 if entry.job is None and entry.outcome is None:
                     entry.job = job
             case JobCancelRequested(job_id):
-                self._open(job_id).cancelled = True
+                self._get_or_create(job_id).cancelled = True
             case JobBegun(job_id):
-                self._open(job_id).begun = True
+                self._get_or_create(job_id).begun = True
             case PhaseProgress(phase):
-                self._open(phase.job_id).phases[phase] = record
+                self._get_or_create(phase.job_id).phases[phase] = record
             case JobOutcome(job_id):
-                self._open(job_id).outcome = record
+                self._get_or_create(job_id).outcome = record
 
-    def _open(self, job_id: str) -> BookEntry:
+    def _get_or_create(self, job_id: str) -> BookEntry:
         return self.entries.setdefault(job_id, BookEntry())
 
-    def _drop(self, key: str) -> None:
+    def _remove_key(self, key: str) -> None:
         job_id = key[1:]
         entry = self.entries.get(job_id)
         if entry is None:
--- a/src/larkhoist/jobs/catalog.py
+++ b/src/larkhoist/jobs/catalog.py
@@ -1,4 +1,4 @@
-"""Hold the operators' configuration of queues and customers at one version."""
+"""Define one version of the operators' configuration of queues and customers."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobQueue:
-    """Describe one queue; callers name it by host and the longest path prefix."""
+    """Configuration of one queue.
+
+    A request goes to the queue of its host with the longest matching path prefix.
+    """
 
     name: str
     host: str
@@ -23,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerAccount:
-    """Describe one customer; the guarantee is a number of accelerators."""
+    """Configuration of one customer."""
 
     name: str
     credentials: frozenset[str]
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalog:
-    """Hold one version of the configuration, whole."""
+    """Queues, customers and limits of one version of the configuration."""
 
     version: int
     queues: tuple[JobQueue, ...]
@@ -49,7 +52,7 @@
                 self._by_credential[credential] = customer
 
     def find_queue(self, host: str, path: str) -> JobQueue | None:
-        """Return the queue with the longest prefix that ``path`` begins with."""
+        """Return the queue of ``host`` with the longest prefix of ``path``, if any."""
         name = host.partition(":")[0].lower()
         for queue in self._by_host.get(name, ()):
             if path.startswith(queue.prefix):
@@ -57,9 +60,9 @@
         return None
 
     def find_customer(self, credential: str) -> CustomerAccount | None:
-        """Return the customer that holds a credential."""
+        """Return the customer with the given credential, None if it is unknown."""
         return self._by_credential.get(credential)
 
     def get_guarantees(self) -> dict[str, int]:
-        """Return the guaranteed accelerators by customer."""
+        """Return the number of guaranteed accelerators by customer."""
         return {c.name: c.guaranteed_accelerators for c in self.customers}
--- a/src/larkhoist/jobs/checks.py
+++ b/src/larkhoist/jobs/checks.py
@@ -1,7 +1,7 @@
 """Check a job before it is accepted.
 
-What no owner could schedule must not come to the log: it would end the decisions of
-each owner in turn.
+A job that can't be scheduled must not reach the log: scheduling would fail at each
+owner that reads it, one after the other.
 """
 
 from collections.abc import Iterator
@@ -12,14 +12,15 @@
 
 __all__ = ["check_job"]
 
-MOST_TASKS_OF_STEP = 3_000
-"""Their progress is one record: some 80 bytes each, of 256 KB that the log takes."""
-MOST_TASKS = 100_000
-"""Of a job with all its runs; half of what runs at once on 19,000 workers."""
+MAX_STEP_TASKS = 3_000
+"""The progress of a step is one record of about 80 bytes per task; the log accepts at
+most 256 KB."""
+MAX_JOB_TASKS = 100_000
+"""Limit over all runs of a job; half the tasks that 19,000 workers run at once."""
 
 
 def check_job(job: StagedJob) -> Problem | None:
-    """Return what is wrong with a job, naming the field, its value and a remedy."""
+    """Return the first fault of a job with its field, value and remedy, if any."""
     for fault in _find_faults(job):
         return Problem(Code.INVALID_VALUE, detail=fault)
     return None
@@ -35,17 +36,17 @@
     for number, step in enumerate(job.steps):
         yield from _find_step_faults(number, step)
     tasks = job.run_count * sum(step.count for step in job.steps)
-    if tasks > MOST_TASKS:
-        yield f"runs: {job.runs} of {tasks} tasks in all; give at most {MOST_TASKS}"
+    if tasks > MAX_JOB_TASKS:
+        yield f"runs: {job.runs}, {tasks} tasks in total; give at most {MAX_JOB_TASKS}"
 
 
 def _find_step_faults(number: int, step: StepSpec) -> Iterator[str]:
     place = f"steps[{number}]"
-    if not 1 <= step.count <= MOST_TASKS_OF_STEP:
-        yield f"{place}.count: {step.count}; give 1 to {MOST_TASKS_OF_STEP}"
+    if not 1 <= step.count <= MAX_STEP_TASKS:
+        yield f"{place}.count: {step.count}; give 1 to {MAX_STEP_TASKS}"
     for before in step.depends_on:
         if not 0 <= before < number:
-            yield f"{place}.depends_on: {before}; name steps before it, from 0 on"
+            yield f"{place}.depends_on: {before}; give earlier steps, counted from 0"
     for field in ("cpu_milli", "memory_mb", "accelerators", "estimate_ms"):
         value = getattr(step, field)
         if value < 0:
--- a/src/larkhoist/jobs/records.py
+++ b/src/larkhoist/jobs/records.py
@@ -1,12 +1,12 @@
-"""Hold the records that keep staged jobs on the platform's log.
+"""Define the records of staged jobs on the platform's log.
 
-Each aspect of a job has a key of its own, and each key one kind of writer:
-acceptance and cancellation come from any instance, the others from the owner
-alone. The newest record of a key is the whole truth about it.
+Each kind of record of a job has its own key. Any instance may write acceptance and
+cancellation; only the owner writes the others. The newest record of a key replaces
+all older ones.
 
-Every instance follows the stream of jobs. Progress has a stream of its own, which
-only a new owner reads. Once a job has ended and none of its tasks may run, its
-outcome is all that is kept, until nobody may ask for it any more.
+Every instance follows the stream of jobs. Progress has its own stream, which only a
+new owner reads. Once a job has ended and none of its tasks may still run, only its
+outcome is kept, until it expires.
 """
 
 from collections.abc import Mapping
@@ -43,7 +43,7 @@
 
 
 class PhaseId(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Name one step of one run of a job."""
+    """Identifier of one step of one run of a job."""
 
     job_id: str
     run: int
@@ -51,31 +51,33 @@
 
 
 class JobAccepted(msgspec.Struct, frozen=True, tag="a"):
-    """Keep a job; a second record of the same job changes nothing."""
+    """An accepted job; a second record of the same job has no effect."""
 
     job: StagedJob
 
 
 class JobCancelRequested(msgspec.Struct, frozen=True, tag="c"):
-    """Ask for a job to end."""
+    """Request to cancel a job."""
 
     job_id: str
 
 
 class JobBegun(msgspec.Struct, frozen=True, tag="b"):
-    """Tell that a task of the job was ordered to start."""
+    """Record that a start was ordered for at least one task of the job."""
 
     job_id: str
 
 
 class LostWorkers(msgspec.Struct, frozen=True, array_like=True):
-    """Count the workers that were lost under a task, and its starts since.
-
-    ``crashes`` counts those that crashed while it ran, ``blamed`` those of them whose
-    crash it most likely caused, ``unsure`` those that may have been cut off, or on
-    which it may not have run. ``late_starts`` counts its starts after the third of all.
-    ``unseen`` counts those of ``unsure`` on which it was never seen to run while others
-    had just been started there as well.
+    """Numbers of workers lost while assigned a task, and of its starts since then.
+
+    - ``crashes``: workers that crashed while the task ran there.
+    - ``blamed``: those of ``crashes`` that the task most likely caused.
+    - ``unsure``: workers that may only have been cut off, or on which the task may not
+      have run.
+    - ``late_starts``: starts of the task after the third lost worker.
+    - ``unseen``: those of ``unsure`` that never reported the task as running, while
+      other tasks had just been started there as well.
     """
 
     crashes: int = 0
@@ -86,20 +88,22 @@
 
     @property
     def count(self) -> int:
-        """Return how many workers were lost."""
+        """Return the total number of lost workers."""
         return self.crashes + self.unsure
 
 
 class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what must outlive the owner of one task.
-
-    ``worker`` is where the attempt may run, empty where none may; ``failures``
-    counts attempts that ended as failed; ``checkpoint`` is where the next attempt
-    goes on. ``address`` reaches the worker when it is off the platform's list: without
-    it a successor could neither stop a task there nor keep up its lease. ``lost``
-    counts the workers that were lost under it. ``worker_started_ms`` is the start time
-    of the worker incarnation that the attempt was assigned to, 0 if unknown. ``seen``
-    tells that the worker has said that the attempt runs.
+    """State of one task that a new owner needs.
+
+    - ``worker``: the worker on which the attempt may run, empty if on none.
+    - ``failures``: number of attempts that ended as failed.
+    - ``checkpoint``: where the next attempt resumes.
+    - ``address``: the worker's address, kept for when the platform no longer lists the
+      worker; without it a new owner could neither stop the task nor renew the lease.
+    - ``lost``: the workers lost while assigned the task.
+    - ``worker_started_ms``: start time (Unix milliseconds) of the worker incarnation
+      that the attempt was assigned to, 0 if unknown.
+    - ``seen``: whether the worker has reported the attempt as running.
     """
 
     attempt: int = 0
@@ -114,12 +118,12 @@
 
 
 class PhaseProgress(msgspec.Struct, frozen=True, tag="p"):
-    """Hold the progress of all tasks of one step of one run.
+    """Progress of all tasks of one step of one run.
 
-    ``failed_attempt`` is the last attempt of a gang whose failure was counted, so
-    that a second member's end doesn't count it again under another owner.
-    ``since_ms`` is since when (Unix milliseconds) no task has started while some
-    wait, or since when all are done; 0 where that is not known.
+    ``failed_attempt`` is the last attempt of a gang whose failure was counted; a new
+    owner must not count it again when another member of the gang ends. ``since_ms``
+    (Unix milliseconds) is the time since which no task has started while some wait,
+    or since which all are done; 0 if unknown.
     """
 
     phase: PhaseId
@@ -129,19 +133,19 @@
 
 
 class RemainingLeases(msgspec.Struct, frozen=True, tag="l"):
-    """Hold how long leases of silent workers may last, in milliseconds by worker.
+    """Longest remaining time of the leases of silent workers, in ms by worker.
 
-    The time counts from when the record is written at the latest. Its owner grants
-    these workers no lease until a newer record lacks them.
+    The time runs from the write of the record at the latest. The owner that wrote it
+    grants these workers no lease until a newer record no longer lists them.
     """
 
     remaining_ms: dict[str, int]
 
 
 class JobOutcome(msgspec.Struct, frozen=True, tag="o"):
-    """Hold how a job ended, as a result code, and when (Unix milliseconds).
+    """Result code of an ended job and its end time (Unix milliseconds).
 
-    ``customer`` is who may ask, since nothing else is kept of an ended job.
+    ``customer`` is the customer that may query the job; nothing else is kept of it.
     """
 
     job_id: str
@@ -183,20 +187,21 @@
 
 
 def make_closing_records(job_id: str) -> tuple[KeyedRecord, ...]:
-    """Return what leaves only the outcome of an ended job on the stream of jobs."""
+    """Return records that remove all but the outcome of an ended job."""
     return tuple(KeyedRecord(f"{kind}{job_id}", b"") for kind in "abc")
 
 
 def make_expiry_records(job_id: str) -> tuple[KeyedRecord, ...]:
-    """Return what leaves nothing of an ended job on the stream of jobs.
+    """Return records that remove all of an ended job, its outcome included.
 
-    A caller's late repeat may have brought the acceptance back.
+    The other keys are removed again, since a caller that submitted the job a second
+    time may have restored the acceptance.
     """
     return (*make_closing_records(job_id), KeyedRecord(f"o{job_id}", b""))
 
 
 def make_leases_record(remaining_s: Mapping[str, float]) -> KeyedRecord:
-    """Return what keeps the remaining time of leases (seconds), if there are any."""
+    """Return the record of remaining leases, in seconds by worker; empty if none."""
     if not remaining_s:
         return KeyedRecord(LEASES_KEY, b"")
     remaining_ms = {name: ceil(1000 * left_s) for name, left_s in remaining_s.items()}
@@ -204,7 +209,7 @@
 
 
 def make_phase_drop(phase: PhaseId) -> KeyedRecord:
-    """Return what drops a phase from the stream of progress."""
+    """Return the record that removes a phase from the stream of progress."""
     return KeyedRecord(_make_phase_key(phase), b"")
 
 
--- a/src/larkhoist/jobs/spec.py
+++ b/src/larkhoist/jobs/spec.py
@@ -1,4 +1,4 @@
-"""Describe staged jobs: steps of equal tasks that follow one another."""
+"""Define staged jobs: steps of identical tasks, ordered by dependencies."""
 
 import msgspec
 
@@ -8,11 +8,12 @@
 
 
 class StepSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Describe one step of ``count`` equal tasks.
+    """One step of ``count`` identical tasks.
 
-    ``estimate_ms`` is the submitter's guess and may be far off. ``spread_limit``
-    bounds how many tasks of the step one worker has at a time (0: no bound). A step
-    that ``fills`` uses only the processor time that others leave.
+    ``estimate_ms`` is the submitter's estimate of a task's duration and may be far off.
+    ``spread_limit`` limits how many tasks of the step run on one worker at a time (0:
+    no limit). A step with ``fills`` reserves no processor time and uses what other
+    tasks leave idle.
     """
 
     count: int
@@ -32,16 +33,16 @@
 
     @property
     def need(self) -> Resources:
-        """Return what one task takes of its worker."""
+        """Return the resources that one task reserves on its worker."""
         cpu_milli = 0 if self.fills else self.cpu_milli
         return Resources(cpu_milli, self.memory_mb, self.accelerators)
 
 
 class JobTerms(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold what the job's queue promised when the job was accepted.
+    """Settings of the job's queue at the time the job was accepted.
 
-    Priority 0 is the most urgent one. The latency objective is ``stretch`` times
-    the longest chain of work plus ``target_ms``.
+    Priority 0 is the most urgent. The latency objective is ``stretch`` times the
+    longest chain of dependent steps plus ``target_ms``.
     """
 
     service: str
@@ -52,10 +53,10 @@
 
 
 class StagedJob(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold one accepted job; times are in milliseconds since the Unix epoch.
+    """One accepted job; times are in milliseconds since the Unix epoch.
 
-    A scheduled job has ``runs`` runs of all its steps, ``interval_ms`` apart from
-    ``first_run_ms`` on; any other has one run at once (``runs`` is 0).
+    A scheduled job runs all its steps ``runs`` times, every ``interval_ms`` from
+    ``first_run_ms`` on. With ``runs`` 0 the job runs once, immediately.
     """
 
     job_id: str
@@ -71,16 +72,16 @@
 
     @property
     def run_count(self) -> int:
-        """Return how often the steps run."""
+        """Return the number of runs."""
         return max(1, self.runs)
 
     def get_due_ms(self, run: int) -> int:
-        """Return when a run may begin."""
+        """Return the time from which a run may start."""
         if self.runs == 0:
             return self.submitted_ms
         return self.first_run_ms + run * self.interval_ms
 
 
 def make_task_name(job_id: str, run: int, step: int, index: int) -> str:
-    """Return the name that workers know a task by."""
+    """Return the name under which workers run a task."""
     return f"{job_id}.{run}.{step}.{index}"
