--- a/src/larkhoist/ports/__init__.py
+++ b/src/larkhoist/ports/__init__.py
@@ -1,1 +1,1 @@
-"""State what the system needs from outside, as typed ports."""
+"""Define typed interfaces (ports) to the systems that larkhoist depends on."""
--- a/src/larkhoist/ports/fleet.py
+++ b/src/larkhoist/ports/fleet.py
@@ -1,4 +1,4 @@
-"""State what the scheduler of staged jobs knows of listed workers and their halls."""
+"""Define resources, listed workers and hall cordons for the staged-job scheduler."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,11 @@
 
 
 UNBOUNDED = 1_000_000
-"""Stands for how often something that takes no room fits."""
+"""Result of ``count_fitting`` for something that needs no resources."""
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """Hold an amount of processor (thousandths of a core), memory, accelerators."""
+    """Amounts of processor time (thousandths of a core), memory and accelerators."""
 
     cpu_milli: int = 0
     memory_mb: int = 0
@@ -39,10 +39,10 @@
         )
 
     def count_fitting(self, each: "Resources") -> int:
-        """Return how often ``each`` fits into this amount, 0 at least.
+        """Return how many times ``each`` fits into this amount, at least 0.
 
-        Plain comparisons: a pass asks 100,000 times, and ``min`` and ``max`` took half
-        of the time.
+        Uses plain comparisons, since one scheduling pass makes 100,000 calls and calls
+        of ``min`` and ``max`` took half of its time.
         """
         count = UNBOUNDED
         if each.cpu_milli:
@@ -60,9 +60,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HallCordon:
-    """Tell whether the workers of a data hall get no new work, as operators wish.
+    """Whether operators have cordoned a data hall.
 
-    What runs there goes on.
+    The workers of a cordoned hall get no new tasks; running tasks continue.
     """
 
     hall: str
@@ -71,11 +71,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedTaskWorker:
-    """Describe one incarnation of a worker as the platform lists it.
+    """Entry of the platform's list for one incarnation of a worker.
 
-    ``remaining_s`` tells how long a leaving worker stays at least, in seconds.
-    ``clock_ms`` is its steady clock when it wrote the entry. ``started_ms`` is its
-    start time in Unix milliseconds, 0 if unknown.
+    ``remaining_s`` is the minimum time in seconds that a leaving worker remains.
+    ``clock_ms`` is the worker's steady clock when it wrote the entry. ``started_ms``
+    is its start time in Unix milliseconds, 0 if unknown.
     """
 
     name: str
--- a/src/larkhoist/ports/keyed_log.py
+++ b/src/larkhoist/ports/keyed_log.py
@@ -1,8 +1,8 @@
-"""State what the scheduler of staged jobs needs from the platform's log.
+"""Define the interface of the staged-job scheduler to the platform's log.
 
-A keyed stream keeps the newest record of each key for good; older records stay
-readable for a limited time only. Every call returns a ``Result``; an append that
-fails with ``APPEND_UNKNOWN`` may have taken effect or may still do so.
+A keyed stream keeps the newest record of each key permanently and older records for
+a limited time. Every call returns a ``Result``; an append that fails with
+``APPEND_UNKNOWN`` may have taken effect or may still do so.
 """
 
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """Hold one record to append; an empty value drops the key."""
+    """One record to append; an empty value removes the key."""
 
     key: str
     value: bytes
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """Hold one record of a stream with the offset it has there."""
+    """One record of a stream with its offset there."""
 
     offset: int
     key: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamPage:
-    """Hold what one read returned; ``end`` is the next offset to be given out."""
+    """Result of one read; ``end`` is the next offset to be assigned."""
 
     end: int
     records: tuple[StoredRecord, ...]
@@ -51,9 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestRecords:
-    """Hold the newest record of each key.
+    """The newest record of each key.
 
-    The records are no snapshot; reading the stream on from ``end`` corrects them.
+    The records are not a consistent snapshot: apply the records from ``end`` on as
+    well.
     """
 
     end: int
@@ -62,16 +63,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AtEnd:
-    """Append only where the stream still ends at ``offset``."""
+    """Condition that the stream still ends at ``offset``."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class WrittenBy:
-    """Append as the next batch of a writer; the same batch again changes nothing.
+    """Condition that the batch is the next one of a writer.
 
-    Once a higher ``epoch`` of the writer was seen, lower ones are refused.
+    Repeating a batch has no effect. Once the log has received a higher ``epoch`` of the
+    writer, it refuses lower ones.
     """
 
     writer: str
@@ -83,7 +85,7 @@
 
 
 class KeyedLogPort(Protocol):
-    """Reach the platform's keyed streams."""
+    """Client of the platform's keyed streams."""
 
     async def append(
         self,
@@ -94,16 +96,16 @@
     ) -> Result[int, Problem]:
         """Append all records or none; return the end of the stream after them.
 
-        No answer within ``timeout_s`` means ``APPEND_UNKNOWN``.
-        Without records, the guard alone takes effect: the epoch is raised.
+        Fails with ``APPEND_UNKNOWN`` if there is no answer within ``timeout_s``.
+        Without records, only the guard takes effect: it raises the writer's epoch.
         """
 
     async def read(
         self, stream: str, offset: int, wait_s: float
     ) -> Result[StreamPage, Problem]:
-        """Read on from ``offset``, waiting up to ``wait_s`` for a first record.
+        """Read from ``offset`` on, waiting up to ``wait_s`` for a first record.
 
-        ``HISTORY_GONE`` means that ``offset`` is not kept any more.
+        Fails with ``HISTORY_GONE`` if records at ``offset`` are no longer kept.
         """
 
     async def read_newest(self, stream: str) -> Result[NewestRecords, Problem]:
--- a/src/larkhoist/ports/platform.py
+++ b/src/larkhoist/ports/platform.py
@@ -1,7 +1,7 @@
-"""State what the system needs from the platform: a log with offsets and a list.
+"""Define the interface to the platform: a log with offsets and a list of instances.
 
-Every call returns a ``Result``; a failed append with the code
-``APPEND_UNKNOWN`` may have taken effect.
+Every call returns a ``Result``; an append that fails with ``APPEND_UNKNOWN`` may
+have taken effect.
 """
 
 from typing import Protocol
@@ -26,16 +26,16 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Hold one record of a stream."""
+    """One record of a stream."""
 
     offset: int
     data: bytes
 
 
 class LogPage(msgspec.Struct, frozen=True):
-    """Hold what one read returned.
+    """Result of one read.
 
-    ``oldest`` is the first offset still kept and ``end`` the next one to be used.
+    ``oldest`` is the first offset still kept, ``end`` the next one to be assigned.
     """
 
     oldest: int
@@ -44,12 +44,12 @@
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """Describe one instance on the platform's list.
+    """One instance on the platform's list.
 
-    ``kind`` is ``entry``, ``worker`` or ``upstream``; ``address`` is an IP number
-    with a port; a worker has accelerators and a rack, an upstream has slots and
-    the worker whose accelerators its slots use, an entry instance has the address
-    of its peer link.
+    ``kind`` is ``entry``, ``worker`` or ``upstream``; ``address`` is an IP address
+    with a port. A worker has ``accelerators`` and ``rack``; an upstream has
+    ``slots`` and ``worker``, the worker whose accelerators its slots use; an entry
+    instance has ``peer_address``, the address of its peer link.
     """
 
     kind: str
@@ -67,14 +67,14 @@
 
 
 class InstanceList(msgspec.Struct, frozen=True):
-    """Hold the platform's list at one version; it may be old."""
+    """The platform's list at one version, which may be out of date."""
 
     version: int = 0
     instances: tuple[Instance, ...] = ()
 
 
 class PlatformPort(Protocol):
-    """Reach the platform's log and list."""
+    """Client of the platform's log and list."""
 
     async def append(self, stream: str, data: bytes) -> Result[int, Problem]:
         """Append one record and return its offset."""
--- a/src/larkhoist/ports/task_worker.py
+++ b/src/larkhoist/ports/task_worker.py
@@ -1,8 +1,8 @@
-"""State what the scheduler of staged jobs needs from a worker.
+"""Define the interface of the staged-job scheduler to a worker.
 
-A worker runs tasks under one lease, which counts on its own steady clock. It
-keeps the highest fencing token it has seen and refuses lower ones. The end of a
-task is reported until it was acknowledged.
+A worker runs its tasks under one lease, whose end is a time on the worker's own steady
+clock. It keeps the highest fencing token it has received and refuses lower ones. It
+reports the end of a task until the end is acknowledged.
 """
 
 from dataclasses import dataclass
@@ -27,14 +27,14 @@
 
 
 CLOCK_DRIFT = 0.02
-"""How much slower than true time a worker's clock may run; from the users' pages."""
+"""A worker's clock may run slower than true time by this fraction, as specified."""
 
 
 class EndKind(StrEnum):
-    """Name how a task ended.
+    """How a task ended.
 
-    ``BROKEN`` ended because another member of its gang did, ``ALONE`` because the
-    other members did not come in time, ``LAPSED`` with the lease.
+    ``BROKEN``: another member of its gang ended. ``ALONE``: the other members of its
+    gang did not start in time. ``LAPSED``: the worker's lease ended.
     """
 
     DONE = "done"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Start one attempt of a task; ``lease_until_ms`` is on the worker's clock.
+    """Order to start one attempt; ``lease_until_ms`` is a time on the worker's clock.
 
     ``started_ms`` identifies the incarnation that the order is meant for, 0 for any.
     """
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop one attempt of a task, also one that has not arrived yet."""
+    """Order to stop one attempt of a task, even if its start has not arrived yet."""
 
     task: str
     attempt: int
@@ -72,10 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseCall:
-    """Renew the lease, acknowledge ends and ask for a report.
+    """Request to renew the lease, acknowledge ends and return a report.
 
-    Without ``lease_until_ms`` the lease stays as it is. The worker answers as soon
-    as a task ends, at the latest after ``wait_ms``. ``started_ms`` identifies the
+    Without ``lease_until_ms`` the lease is unchanged. The worker answers as soon as a
+    task ends, and after ``wait_ms`` at the latest. ``started_ms`` identifies the
     incarnation that numbered the acknowledged ends, 0 for any.
     """
 
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """Describe one running attempt; ``share`` is the percentage it reports."""
+    """One running attempt; ``share`` is its reported progress in percent."""
 
     task: str
     attempt: int
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedTask:
-    """Describe one end; ``number`` rises within one incarnation of the worker."""
+    """The end of one attempt; ``number`` increases within a worker's incarnation."""
 
     number: int
     task: str
@@ -109,11 +109,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """Hold what a worker says of itself; ``clock_ms`` is its steady clock.
+    """Report of a worker; ``clock_ms`` is its steady clock.
 
-    Unless ``whole``, there are more ends than one report lists: what it doesn't name
-    may have ended. ``started_ms`` is the start time of the worker in Unix milliseconds,
-    0 if unknown.
+    If ``whole`` is False, the report does not list all ends: a task that it does not
+    name may have ended. ``started_ms`` is the start time of the worker in Unix
+    milliseconds, 0 if unknown.
     """
 
     clock_ms: int
@@ -124,25 +124,26 @@
 
 
 class TaskWorkerPort(Protocol):
-    """Reach one worker.
+    """Client of one worker.
 
-    A call that is meant for one incarnation acts in no other one. Failures are
-    ``FENCED``, ``WORKER_FULL``, ``ATTEMPT_TOO_OLD``, ``ORDER_TOO_LATE``,
-    ``WORKER_REPLACED``, ``ORDER_REFUSED`` and ``WORKER_UNREACHABLE``, after which
-    nothing was done, and ``WORKER_SILENT``, after which the order may still act.
+    A call that is meant for one incarnation has no effect on any other. After the
+    failures ``FENCED``, ``WORKER_FULL``, ``ATTEMPT_TOO_OLD``, ``ORDER_TOO_LATE``,
+    ``WORKER_REPLACED``, ``ORDER_REFUSED`` and ``WORKER_UNREACHABLE`` the call had no
+    effect; after ``WORKER_SILENT`` it may have had one or may still have.
     """
 
     async def start_task(self, order: StartOrder) -> Result[int, Problem]:
         """Start a task and return the worker's clock in milliseconds.
 
-        ``ORDER_TOO_LATE`` tells as well that another incarnation serves by now.
+        Also fails with ``ORDER_TOO_LATE`` if another incarnation has replaced the one
+        that the order is meant for.
         """
 
     async def stop_task(self, order: StopOrder) -> Result[int, Problem]:
         """Stop a task and return the worker's clock in milliseconds."""
 
     async def renew(self, call: LeaseCall) -> Result[WorkerReport, Problem]:
-        """Renew the lease, acknowledge ends and report.
+        """Renew the lease, acknowledge ends and return the worker's report.
 
-        Another incarnation than the call is meant for only reports.
+        An incarnation other than the one that the call is meant for only reports.
         """
--- a/src/larkhoist/ports/upstream.py
+++ b/src/larkhoist/ports/upstream.py
@@ -1,4 +1,4 @@
-"""State what the system needs from an upstream: one send, one result."""
+"""Define the interface to an upstream: one send, one result."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,7 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Hold what one send needs; ``timeout_s`` covers connect to last byte."""
+    """One request.
+
+    ``timeout_s`` covers the time from connect to the last byte. ``reuse`` permits an
+    open connection to be used again.
+    """
 
     address: str
     path: str
@@ -25,10 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SendResult:
-    """Hold how one send ended.
+    """Result of one send.
 
-    ``code`` is ``ANSWERED``, a *not run* code where no byte can have reached the
-    upstream or the upstream said so itself, or an *unknown* code.
+    ``code`` is ``ANSWERED``, a *not run* code if no byte can have reached the
+    upstream or the upstream answered that it did not run the request, or an *unknown*
+    code.
     """
 
     code: Code
@@ -39,7 +44,7 @@
 
 
 class UpstreamPort(Protocol):
-    """Send requests to upstreams."""
+    """Client that sends requests to upstreams."""
 
     async def send(self, request: SendRequest) -> SendResult:
-        """Send once; never send the same request a second time."""
+        """Send the request once, without retries."""
--- a/src/larkhoist/ports/worker.py
+++ b/src/larkhoist/ports/worker.py
@@ -1,7 +1,7 @@
-"""State what the system needs from a worker: leases, task commands and reports.
+"""Define the interface to a worker: leases, task commands and reports.
 
-A worker takes commands only from the holder of its unexpired lease. It stops all
-tasks by itself when no lease was renewed for the task term.
+A worker accepts commands only from the holder of its unexpired lease. It stops all
+tasks by itself if its lease is not renewed within the task term.
 """
 
 from enum import StrEnum
@@ -26,7 +26,7 @@
 
 
 class TaskState(StrEnum):
-    """Name the states of one task on a worker."""
+    """State of one task on a worker."""
 
     PREPARED = "prepared"
     RUNNING = "running"
@@ -37,7 +37,7 @@
 
 
 class Verb(StrEnum):
-    """Name the commands that a worker takes."""
+    """Command that a worker accepts."""
 
     PREPARE = "prepare"
     START = "start"
@@ -48,7 +48,7 @@
 
 
 class TaskReport(msgspec.Struct, frozen=True):
-    """Report one task; ``accelerators`` is a bit mask over the worker's own."""
+    """State of one task; ``accelerators`` is a bit mask over those of the worker."""
 
     job_id: str
     attempt: int
@@ -60,9 +60,9 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True):
-    """Ask for a worker's lease, or renew it, for ``term_s`` seconds.
+    """Request to grant or renew a worker's lease for ``term_s`` seconds.
 
-    Tasks outlive the last renewal by ``task_term_s`` seconds.
+    Tasks continue for ``task_term_s`` seconds after the last renewal.
     """
 
     holder: str
@@ -72,7 +72,7 @@
 
 
 class LeaseReply(msgspec.Struct, frozen=True):
-    """Answer a lease request with the state of the lease and all tasks."""
+    """Answer to a lease request: the state of the lease and of all tasks."""
 
     granted: bool
     holder: str
@@ -82,7 +82,7 @@
 
 
 class TaskCommand(msgspec.Struct, frozen=True):
-    """Command one task; the last fields count for ``prepare`` only.
+    """Command for one task; ``prepare`` alone uses the last three fields.
 
     A prepared task that is not started within ``hold_s`` seconds is dropped.
     """
@@ -97,7 +97,7 @@
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """Carry commands for one worker under one lease."""
+    """Commands for one worker under one lease."""
 
     holder: str
     epoch: int
@@ -105,17 +105,21 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True):
-    """Tell which commands were carried out; ``fenced`` refuses all of them."""
+    """Answer to a command request.
+
+    ``done`` tells for each command whether it was carried out. If ``fenced`` is True,
+    all were refused.
+    """
 
     fenced: bool
     done: tuple[bool, ...] = ()
 
 
 class WorkerPort(Protocol):
-    """Reach one worker."""
+    """Client of one worker."""
 
     async def lease(self, request: LeaseRequest) -> Result[LeaseReply, Problem]:
         """Take or renew the lease of the worker."""
 
     async def command(self, request: CommandRequest) -> Result[CommandReply, Problem]:
-        """Carry out commands in their order."""
+        """Carry out the commands in order."""
