--- a/tests/control/__init__.py
+++ b/tests/control/__init__.py
@@ -1,1 +1,1 @@
-"""Test the tasks that keep staged jobs against a log in memory."""
+"""Test the control of staged jobs with a log in memory."""
--- a/tests/control/memory_log.py
+++ b/tests/control/memory_log.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's keyed log in memory, with faults."""
+"""Simulate the platform's keyed log in memory, with faults."""
 
 import asyncio
 
@@ -18,32 +18,36 @@
 
 __all__ = ["MemoryLog", "PartialLog"]
 
-LOOK_S = 0.002
-"""How often a read that waits looks for a record."""
+POLL_INTERVAL_S = 0.002
+"""How often a waiting read checks for a record."""
 
 
 class MemoryLog:
-    """Hold streams; ``lose`` answers are lost after the append took effect.
-
-    Reads wait as long as they are asked to for a first record.
-
-    A ``silent`` log takes calls and never answers them; appends are answered
-    ``answer_s`` after they took effect. ``hold`` appends take effect
-    and are not answered before their time-out. ``unwanted`` names writers with the
-    epoch whose sequence it does not want; appends of more than ``largest`` bytes are
-    refused.
+    """In-memory keyed log with configurable faults.
+
+    Reads wait for a first record as long as requested.
+
+    - ``down``: calls fail at once with ``LOG_UNAVAILABLE``.
+    - ``silent``: calls are accepted and never answered.
+    - ``lost_answer_count``: how many of the next appends take effect and fail with
+      ``APPEND_UNKNOWN``.
+    - ``held_answer_count``: the same, where the failure comes after the time-out.
+    - ``answer_delay_s``: time from when an append takes effect to its answer.
+    - ``rejected_epochs``: writers and their epochs whose sequence the log rejects.
+    - ``max_append_bytes``: larger appends are refused.
+    - ``first_offsets``: the first offset that can be read, by stream.
     """
 
     def __init__(self):
         self.streams: dict[str, list[KeyedRecord]] = {}
-        self.first: dict[str, int] = {}
+        self.first_offsets: dict[str, int] = {}
         self.down = False
         self.silent = False
-        self.lose = 0
-        self.hold = 0
-        self.answer_s = 0.0
-        self.unwanted: set[tuple[str, int]] = set()
-        self.largest = float("inf")
+        self.lost_answer_count = 0
+        self.held_answer_count = 0
+        self.answer_delay_s = 0.0
+        self.rejected_epochs: set[tuple[str, int]] = set()
+        self.max_append_bytes = float("inf")
         self.appends = 0
         self.reads = 0
         self._epochs: dict[str, int] = {}
@@ -58,14 +62,14 @@
     ) -> Result[int, Problem]:
         await asyncio.sleep(0)
         self.appends += 1
-        await self._answer()
+        await self._block_if_silent()
         if self.down:
             return Failure(Problem(Code.LOG_UNAVAILABLE))
-        if sum(len(record.value) for record in records) > self.largest:
+        if sum(len(record.value) for record in records) > self.max_append_bytes:
             return Failure(Problem(Code.APPEND_REFUSED))
         kept = self.streams.setdefault(stream, [])
         match guard:
-            case WrittenBy(writer, epoch, _) if (writer, epoch) in self.unwanted:
+            case WrittenBy(writer, epoch, _) if (writer, epoch) in self.rejected_epochs:
                 return Failure(Problem(Code.CONDITION_FAILED))
         match guard:
             case AtEnd(offset):
@@ -79,13 +83,13 @@
                 if guard not in self._answers or not records:
                     kept += records
                     self._answers[guard] = len(kept)
-        await asyncio.sleep(self.answer_s)
-        if self.hold:
-            self.hold -= 1
+        await asyncio.sleep(self.answer_delay_s)
+        if self.held_answer_count:
+            self.held_answer_count -= 1
             await asyncio.sleep(timeout_s)
             return Failure(Problem(Code.APPEND_UNKNOWN))
-        if self.lose:
-            self.lose -= 1
+        if self.lost_answer_count:
+            self.lost_answer_count -= 1
             return Failure(Problem(Code.APPEND_UNKNOWN))
         return Success(len(kept))
 
@@ -94,24 +98,24 @@
     ) -> Result[StreamPage, Problem]:
         self.reads += 1
         await asyncio.sleep(0.001)
-        await self._answer()
+        await self._block_if_silent()
         if self.down:
             return Failure(Problem(Code.LOG_UNAVAILABLE))
-        if offset < self.first.get(stream, 0):
+        if offset < self.first_offsets.get(stream, 0):
             return Failure(Problem(Code.HISTORY_GONE))
         await self._wait_for_record(stream, offset, wait_s)
         if self.down:
             return Failure(Problem(Code.LOG_UNAVAILABLE))
         kept = self.streams.get(stream, [])
         records = tuple(
-            StoredRecord(offset + place, record.key, record.value)
-            for place, record in enumerate(kept[offset:])
+            StoredRecord(offset + index, record.key, record.value)
+            for index, record in enumerate(kept[offset:])
         )
         return Success(StreamPage(len(kept), records))
 
     async def read_newest(self, stream: str) -> Result[NewestRecords, Problem]:
         await asyncio.sleep(0)
-        await self._answer()
+        await self._block_if_silent()
         if self.down:
             return Failure(Problem(Code.LOG_UNAVAILABLE))
         kept = self.streams.get(stream, [])
@@ -124,22 +128,22 @@
 
     async def _wait_for_record(self, stream: str, offset: int, wait_s: float) -> None:
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + wait_s
+        deadline_s = loop.time() + wait_s
         while not self.down and len(self.streams.get(stream, [])) <= offset:
-            if loop.time() >= until_s:
+            if loop.time() >= deadline_s:
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _answer(self) -> None:
+    async def _block_if_silent(self) -> None:
         if self.silent:
             await asyncio.Event().wait()
 
 
 class PartialLog:
-    """Reach a log of which the ``refused`` streams are away for one instance."""
+    """A log as reached by one instance, without its ``unavailable_streams``."""
 
     def __init__(self, log: MemoryLog):
-        self.refused: set[str] = set()
+        self.unavailable_streams: set[str] = set()
         self._log = log
 
     async def append(
@@ -149,18 +153,18 @@
         guard: Guard,
         timeout_s: float,
     ) -> Result[int, Problem]:
-        if stream in self.refused:
+        if stream in self.unavailable_streams:
             return Failure(Problem(Code.LOG_UNAVAILABLE))
         return await self._log.append(stream, records, guard, timeout_s)
 
     async def read(
         self, stream: str, offset: int, wait_s: float
     ) -> Result[StreamPage, Problem]:
-        if stream in self.refused:
+        if stream in self.unavailable_streams:
             return Failure(Problem(Code.LOG_UNAVAILABLE))
         return await self._log.read(stream, offset, wait_s)
 
     async def read_newest(self, stream: str) -> Result[NewestRecords, Problem]:
-        if stream in self.refused:
+        if stream in self.unavailable_streams:
             return Failure(Problem(Code.LOG_UNAVAILABLE))
         return await self._log.read_newest(stream)
--- a/tests/control/test_answer_times.py
+++ b/tests/control/test_answer_times.py
@@ -1,4 +1,4 @@
-"""Check how long a call waits before it is made again."""
+"""Check the time-out after which a call to the log is repeated."""
 
 import pytest
 
@@ -20,11 +20,11 @@
 def test_losses_double_the_time_out_up_to_the_longest():
     times = create_answer_times()
     times.note_answer(0.004)
-    found = []
+    timeouts_s = []
     for _ in range(4):
         times.note_loss()
-        found.append(times.get_timeout_s())
-    assert found == [0.6, 1.2, LONGEST_TIMEOUT_S, LONGEST_TIMEOUT_S]
+        timeouts_s.append(times.get_timeout_s())
+    assert timeouts_s == [0.6, 1.2, LONGEST_TIMEOUT_S, LONGEST_TIMEOUT_S]
     times.note_answer(0.004)
     assert times.get_timeout_s() == LEAST_TIMEOUT_S
 
--- a/tests/control/test_job_desk.py
+++ b/tests/control/test_job_desk.py
@@ -1,4 +1,4 @@
-"""Check what callers are told while the log does not answer."""
+"""Check the answers to callers while the log does not answer."""
 
 import asyncio
 
@@ -21,19 +21,26 @@
 CATALOG = Catalog(1, (QUEUE,), (), 1000)
 
 
-class Desk:
-    """Hold a desk whose log has one configuration with a public queue."""
+class JobDeskSetup:
+    """A job desk on a log whose one configuration has a public queue."""
 
     def __init__(self, check_s: float):
         self.log = MemoryLog()
         self.log.streams[CONFIGURATION_STREAM] = [KeyedRecord("config", b"1")]
         catalog = CatalogKeeper(lambda record: CATALOG)
-        self.catalog = StreamFollower(self.log, CONFIGURATION_STREAM, catalog, 0.01)
+        self.catalog_follower = StreamFollower(
+            self.log, CONFIGURATION_STREAM, catalog, 0.01
+        )
         book = JobBook()
         follower = StreamFollower(self.log, JOB_STREAM, book, 0.01)
         writer = StreamWriter(self.log, JOB_STREAM, "one")
         self.desk = JobDesk(
-            catalog, self.catalog, book, follower, writer, DeskTimes(check_s=check_s)
+            catalog,
+            self.catalog_follower,
+            book,
+            follower,
+            writer,
+            DeskTimes(check_s=check_s),
         )
 
     async def admit(self, path: str = PATH):
@@ -43,9 +50,9 @@
 
 @pytest.fixture
 async def made():
-    desk = Desk(check_s=0.05)
-    assert await desk.catalog.catch_up(5)
-    return desk
+    setup = JobDeskSetup(check_s=0.05)
+    assert await setup.catalog_follower.catch_up(5)
+    return setup
 
 
 async def test_a_silent_log_holds_one_caller_and_refuses_the_next_at_once(made):
@@ -54,12 +61,12 @@
     match await made.admit("/elsewhere/"):
         case Failure(problem):
             assert problem.code is Code.NOT_READY
-    # From now on the log is known not to answer: a check would never end.
+    # The follower has lost the log. A second check would exceed the limit below.
     made.desk._times = DeskTimes(check_s=1000.0)
     async with asyncio.timeout(5):
         refused = await made.admit("/elsewhere/")
     assert refused.failure().code is Code.NOT_READY
     assert refused.failure().retry_after_s > 0
     made.log.silent = False
-    assert await made.catalog.catch_up(5)
+    assert await made.catalog_follower.catch_up(5)
     assert (await made.admit("/elsewhere/")).failure().code is Code.NOT_FOUND
--- a/tests/control/test_scheduler_node.py
+++ b/tests/control/test_scheduler_node.py
@@ -1,4 +1,4 @@
-"""Check that some instance schedules while one of them can't."""
+"""Check that the tenure passes on and that a new owner starts work promptly."""
 
 import asyncio
 from dataclasses import replace
@@ -35,32 +35,34 @@
 
 
 class Worker:
-    """Stand in for a worker that is idle; ``asked_s`` is when it was asked first."""
+    """Simulated idle worker; ``first_called_s`` is the time of the first call."""
 
     def __init__(self):
-        self.asked_s = float("inf")
+        self.first_called_s = float("inf")
 
     async def renew(self, call: LeaseCall):
-        self.asked_s = min(self.asked_s, asyncio.get_running_loop().time())
+        self.first_called_s = min(
+            self.first_called_s, asyncio.get_running_loop().time()
+        )
         return Success(WorkerReport(1000, (), ()))
 
 
 class Nodes:
-    """Hold instances that share a log, each by a path of its own."""
+    """Instances that share a log, each with its own view of it."""
 
     def __init__(self):
         self.log = MemoryLog()
         self.log.streams[CONFIGURATION_STREAM] = [KeyedRecord("config", b"1")]
         self.log.streams[WORKER_STREAM] = [KeyedRecord("w1", b"1")]
         self.worker = Worker()
-        self.paths: dict[str, PartialLog] = {}
+        self.logs: dict[str, PartialLog] = {}
         self.nodes: dict[str, SchedulerNode] = {}
 
     async def add(self, name: str) -> SchedulerNode:
-        path = self.paths[name] = PartialLog(self.log)
+        partial_log = self.logs[name] = PartialLog(self.log)
         node = self.nodes[name] = create_scheduler_node(
             FleetSettings(instance=name, hall="hall"),
-            path,
+            partial_log,
             lambda record: CATALOG,
             lambda record: None,
             lambda record: LISTED,
@@ -73,8 +75,8 @@
         for node in self.nodes.values():
             await node.close()
 
-    def list_acting(self) -> list[str]:
-        """Return who has taken over and holds the tenure."""
+    def list_active_owners(self) -> list[str]:
+        """Return the instances that hold the tenure and have taken over."""
         return [
             name
             for name, node in self.nodes.items()
@@ -86,41 +88,38 @@
 async def nodes():
     made = Nodes()
     yield made
-    made.paths = {}
+    made.logs = {}
     await made.close()
 
 
 async def test_a_take_over_that_does_not_end_gives_the_tenure_up(nodes):
-    # An owner renewed its tenure by one task while its take-over waited for a stream
-    # that it could not read. Nobody else may claim then, and nothing is started nor is
-    # any lease renewed, for as long as that lasts:
-    #     take-over-waits term=71 reason="210 LOG_UNAVAILABLE ..."
-    #     tenure-gained term=71; take-over-done term=71, 4.9 s later
+    # Guards against an owner that keeps renewing its tenure while its take-over waits
+    # for a stream that it can't read. Until it can, no other instance may claim, no
+    # task is started and no lease renewed; in one case that took 4.9 s.
     first = await nodes.add("one")
-    nodes.paths["one"].refused.add(PROGRESS_STREAM)
+    nodes.logs["one"].unavailable_streams.add(PROGRESS_STREAM)
     async with asyncio.timeout(5):
         while not first.term:
             await asyncio.sleep(0.01)
     await nodes.add("two")
     async with asyncio.timeout(12):
-        while nodes.list_acting() != ["two"]:
+        while nodes.list_active_owners() != ["two"]:
             await asyncio.sleep(0.01)
 
 
 async def test_an_owner_begins_as_soon_as_it_has_taken_over(nodes):
-    # Between a take-over and the first look at the workers lay 0.25 s in which the new
-    # owner waited for something to happen, at each change of owner:
-    #     tenure-gained +0.00, take-over-done +0.03, worker-listed +0.28
+    # Guards against a new owner that waits for an event after the take-over before it
+    # reads the list of workers, which cost 0.25 s at each change of owner.
     node = await nodes.add("one")
     async with asyncio.timeout(5):
-        while not nodes.list_acting():
+        while not nodes.list_active_owners():
             await asyncio.sleep(0.001)
     done_s = asyncio.get_running_loop().time()
     async with asyncio.timeout(5):
-        while nodes.worker.asked_s == float("inf"):
+        while nodes.worker.first_called_s == float("inf"):
             await asyncio.sleep(0.001)
     assert node.term
-    assert nodes.worker.asked_s < done_s + 0.15
+    assert nodes.worker.first_called_s < done_s + 0.15
 
 
 async def test_a_session_is_reopened_when_a_worker_restarts_at_another_address():
@@ -159,33 +158,33 @@
 
 
 class SharedProcessor:
-    """Stand in for many idle workers whose calls share the owner's processor.
+    """Simulated idle workers, the calls to which share the owner's processor.
 
-    Each call takes ``cost_s`` of it, one after the other, and is taken as lost if it is
-    not done within ``timeout_s``.
+    Calls are processed one after the other in ``cost_s`` each. A call that is not done
+    within ``timeout_s`` counts as lost.
     """
 
     def __init__(self, cost_s: float, timeout_s: float):
-        self.heard: set[str] = set()
-        self.lost = 0
+        self.answered: set[str] = set()
+        self.lost_count = 0
         self._cost_s = cost_s
         self._timeout_s = timeout_s
-        self._free_s = 0.0
+        self._available_s = 0.0
 
     async def call(self, name: str):
         now_s = asyncio.get_running_loop().time()
-        self._free_s = max(self._free_s, now_s) + self._cost_s
-        takes_s = self._free_s - now_s
-        await asyncio.sleep(min(takes_s, self._timeout_s))
-        if takes_s > self._timeout_s:
-            self.lost += 1
+        self._available_s = max(self._available_s, now_s) + self._cost_s
+        duration_s = self._available_s - now_s
+        await asyncio.sleep(min(duration_s, self._timeout_s))
+        if duration_s > self._timeout_s:
+            self.lost_count += 1
             return Failure(Problem(Code.WORKER_SILENT))
-        self.heard.add(name)
+        self.answered.add(name)
         return Success(WorkerReport(1000, (), ()))
 
 
 class SharingWorker:
-    """Stand in for one worker of a ``SharedProcessor``."""
+    """Simulated worker whose calls run on a ``SharedProcessor``."""
 
     def __init__(self, name: str, processor: SharedProcessor):
         self._name = name
@@ -196,9 +195,9 @@
 
 
 async def test_a_new_owner_loses_no_answer_of_thousands_of_workers():
-    # A new owner called all workers at once. With 3,000 of them that was more than its
-    # processor could do within the time-out of a call: most calls were taken as lost
-    # and made again, each by a new connection, and the workers counted as silent.
+    # Guards against a new owner that calls all workers at once. With 3,000 workers its
+    # processor could not process all calls within the time-out: most were counted as
+    # lost and repeated over new connections, and the workers were taken as silent.
     count = 3000
     log = MemoryLog()
     log.streams[CONFIGURATION_STREAM] = [KeyedRecord("config", b"1")]
@@ -214,7 +213,7 @@
     )
     await node.start()
     async with asyncio.timeout(20):
-        while len(processor.heard) < count:
+        while len(processor.answered) < count:
             await asyncio.sleep(0.01)
     await node.close()
-    assert processor.lost == 0
+    assert processor.lost_count == 0
--- a/tests/control/test_streams.py
+++ b/tests/control/test_streams.py
@@ -1,4 +1,4 @@
-"""Check that records are appended once and read in order."""
+"""Check that records are appended exactly once and read in order."""
 
 import asyncio
 
@@ -48,7 +48,7 @@
 
 
 async def test_a_lost_answer_is_settled_by_the_same_append(log, writer):
-    log.lose = 2
+    log.lost_answer_count = 2
     assert await writer.commit(record(1)) is None
     assert len(log.streams["jobs"]) == 1
     assert log.appends == 3
@@ -109,7 +109,7 @@
     await follower.close()
     for number in range(2, 5):
         await writer.commit(record(number))
-    log.first["jobs"] = 3
+    log.first_offsets["jobs"] = 3
     assert not await follower.catch_up(5)
     assert await follower.catch_up(5)
     assert sorted(sink.values) == [b"1", b"2", b"3", b"4"]
@@ -159,7 +159,7 @@
     await asyncio.sleep(0)
     late = asyncio.create_task(follower.catch_up(5))
     assert await asyncio.gather(*checks, late) == [True] * 21
-    # The first one began before the others were asked for: they share the next.
+    # The late check arrives after the first read has begun and needs a second one.
     assert log.reads - before <= 2
 
 
@@ -167,12 +167,12 @@
     sink = Sink()
     follower = StreamFollower(log, "jobs", sink, 0.01)
     for number in range(1, 20):
-        under_way = asyncio.create_task(follower.catch_up(5))
+        earlier_check = asyncio.create_task(follower.catch_up(5))
         await asyncio.sleep(0.0005 * (number % 4))
         await writer.commit(record(number))
         assert await follower.catch_up(5)
         assert sink.values[-1] == str(number).encode()
-        await under_way
+        await earlier_check
 
 
 async def test_a_follower_says_what_holds_it_up(log, caplog, monkeypatch):
@@ -189,9 +189,9 @@
 
 
 async def test_a_writer_whose_sequence_the_log_does_not_want_begins_anew(log, writer):
-    # It sent the same batch again for ever, and whoever handed records in waited.
+    # Guards against a writer that repeats a rejected batch forever while callers wait.
     assert await writer.commit(record(1)) is None
-    log.unwanted.add(("one", 1))
+    log.rejected_epochs.add(("one", 1))
     assert await writer.commit(record(2), timeout_s=5.0) is None
     assert [kept.key for kept in log.streams["jobs"]] == ["k1", "k2"]
     assert await writer.commit(record(3)) is None
@@ -200,7 +200,7 @@
 async def test_a_term_whose_sequence_the_log_does_not_want_is_over(log):
     owner = StreamWriter(log, "jobs", "owner", 7, is_term=True)
     await owner.start()
-    log.unwanted.add(("owner", 7))
+    log.rejected_epochs.add(("owner", 7))
     problem = await owner.commit(record(1), timeout_s=5.0)
     await owner.close()
     assert problem.code is Code.FENCED
@@ -208,8 +208,9 @@
 
 
 async def test_records_that_fill_several_appends_go_one_after_the_other(log, writer):
-    # A round beyond what the log takes in one call was refused and sent for ever.
-    log.largest = 300_000
+    # Guards against one append that exceeds the limit of the log and is refused and
+    # repeated forever.
+    log.max_append_bytes = 300_000
     big = tuple(KeyedRecord(f"k{n}", bytes(90_000)) for n in range(9))
     assert await writer.commit(big, timeout_s=5.0) is None
     assert [kept.key for kept in log.streams["jobs"]] == [f"k{n}" for n in range(9)]
@@ -218,7 +219,7 @@
 async def test_a_record_that_the_log_refuses_for_itself_does_not_stop_the_others(
     log, writer
 ):
-    log.largest = 300_000
+    log.max_append_bytes = 300_000
     log.down = True
     big = (KeyedRecord("big", bytes(400_000)),)
     commits = [
@@ -234,13 +235,10 @@
 
 
 async def test_an_outage_ends_for_a_follower_as_soon_as_the_log_answers(log):
-    # After an outage of 1.2 s instances were not ready for 1 s more: the first read
-    # after it waited for a record, and only its end told that the log was back. Callers
-    # were refused meanwhile, and a free tenure was not claimed. Seconds of a soak:
-    #     40.86 tenure-released term=87
-    #     42.40 append-regained stream=jobs
-    #     43.41 stream-regained stream=configuration offset=1
-    #     43.56 tenure-gained term=102
+    # Guards against a follower whose first read after an outage waits for a record, so
+    # that it notices the log's return only when that read ends. After an outage of
+    # 1.2 s, instances were not ready for 1 s more: they refused callers and did not
+    # claim a free tenure.
     follower = StreamFollower(log, "operators", Sink(), wait_s=30.0)
     await follower.start()
     await wait_for(lambda: follower.is_loaded)
@@ -254,8 +252,8 @@
 
 
 async def test_the_end_of_an_outage_says_how_long_it_was(log, caplog):
-    # The line said lost_for_s=0.0 whatever the outage was: the time of the loss was set
-    # anew with the return.
+    # Guards against lost_for_s=0.0 for every outage, which came from overwriting the
+    # time of the loss when the log returned.
     follower = StreamFollower(log, "jobs", Sink(), 0.01)
     with caplog.at_level("INFO"):
         assert await follower.catch_up(5)
@@ -269,9 +267,9 @@
 
 
 async def test_a_shorter_pause_ends_the_one_under_way(log, writer):
-    # An instance reads the jobs with pauses of 0.8 s, an owner without any. The pause
-    # that its follower was in when it became the owner went on to its end, and jobs
-    # accepted meanwhile were not known to it.
+    # Instances pause for 0.8 s between reads of the jobs, the owner does not. Guards
+    # against an instance that becomes the owner and still completes its current pause,
+    # during which it misses newly accepted jobs.
     sink = Sink()
     follower = StreamFollower(log, "jobs", sink, 0.01, pause_s=30.0)
     await follower.start()
--- a/tests/control/test_tenure_keeper.py
+++ b/tests/control/test_tenure_keeper.py
@@ -1,4 +1,4 @@
-"""Check who schedules, by decisions and by keepers on one log."""
+"""Check the claim, renewal and release of the tenure."""
 
 import asyncio
 
@@ -37,7 +37,7 @@
     ("view", "term", "fitness", "now_s", "step"),
     [
         (TenureView(watched_s=0.0), 0, FIT, 0.0, TenureStep.CLAIM),
-        # A stream that was never read may hold a claim.
+        # A stream that was never read may contain a claim.
         (TenureView(), 0, FIT, 0.0, TenureStep.WATCH),
         (TenureView(), 0, UNFIT, 0.0, TenureStep.WATCH),
         (TenureView(), 4, UNFIT, 0.0, TenureStep.RENEW),
@@ -46,10 +46,10 @@
         (make_view(10.0, inherited=True), 0, UNFIT, 10.0, TenureStep.WATCH),
         (make_view(10.0), 0, FIT, 12.0, TenureStep.CLAIM),
         (make_view(10.0, released=True), 0, FIT, 10.1, TenureStep.CLAIM),
-        # An outage is not the holder's silence: only what could be read counts.
+        # The holder counts as silent only while the stream can be read.
         (make_view(10.0, watched_s=19.0), 0, FIT, 20.0, TenureStep.WATCH),
         (make_view(10.0, watched_s=19.0), 0, FIT, 21.0, TenureStep.CLAIM),
-        # Who is not fresh leaves each claim to others for a second more.
+        # With an old state an instance waits 1 s longer before each claim.
         (make_view(10.0), 0, STALE, 12.0, TenureStep.WATCH),
         (make_view(10.0), 0, STALE, 12.2, TenureStep.CLAIM),
         (make_view(10.0, released=True), 0, STALE, 10.9, TenureStep.WATCH),
@@ -75,11 +75,11 @@
     first_s = 10.0 + times.first_patience_s
     assert decide_step(first, 0, FIT, times, first_s) is TenureStep.CLAIM
     if patience_s:
-        # A stronger one may have looked just before the configuration came.
+        # An instance with more cores may have read just before the configuration came.
         assert times.first_patience_s > times.watch_s
         assert decide_step(first, 0, FIT, times, first_s - 0.01) is TenureStep.WATCH
     silent, released = make_view(10.0), make_view(10.0, released=True)
-    # Others look at what a holder renews once in the time of its silence.
+    # While a holder renews, other instances read the stream once per silence_s.
     offered_s = 10.0 + (1.0 + patience_s if patience_s else 0.0)
     for view, due_s in ((silent, 11.0 + patience_s), (released, offered_s)):
         assert decide_step(view, 0, FIT, times, due_s + 0.01) is TenureStep.CLAIM
@@ -89,7 +89,7 @@
 
 
 class Keepers:
-    """Hold keepers on one log and the terms that they were given."""
+    """Tenure keepers on one log, and the changes of their terms in order."""
 
     def __init__(self):
         self.log = MemoryLog()
@@ -137,11 +137,11 @@
 async def test_a_released_tenure_goes_to_another_with_a_higher_term(keepers):
     first = await keepers.add("a")
     await keepers.wait_for(lambda: first.term)
-    old = first.term
+    old_term = first.term
     second = await keepers.add("b")
     await first.close()
     await keepers.wait_for(lambda: second.term)
-    assert second.term > old
+    assert second.term > old_term
 
 
 async def test_a_holder_that_leaves_goes_on_until_another_has_claimed(keepers):
@@ -170,8 +170,8 @@
 async def test_a_renewal_without_an_answer_is_no_loss(keepers):
     first = await keepers.add("a")
     await keepers.wait_for(lambda: first.term)
-    keepers.log.lose = 3
-    await keepers.wait_for(lambda: not keepers.log.lose)
+    keepers.log.lost_answer_count = 3
+    await keepers.wait_for(lambda: not keepers.log.lost_answer_count)
     await asyncio.sleep(0.1)
     assert keepers.terms == [("a", first.term)]
 
@@ -179,7 +179,7 @@
 async def test_a_holder_that_was_replaced_gives_up(keepers):
     first = await keepers.add("a")
     await keepers.wait_for(lambda: first.term)
-    # A frozen holder: its task does not run while another one claims.
+    # Simulates a frozen holder: its task does not run while another instance claims.
     first._task.cancel()
     second = await keepers.add("b")
     await keepers.wait_for(lambda: second.term)
@@ -203,7 +203,7 @@
 async def test_a_restarted_holder_claims_without_waiting_for_its_own_silence(keepers):
     first = await keepers.add("a/1")
     await keepers.wait_for(lambda: first.term)
-    # Killed: no release is written.
+    # Simulates a killed holder: no release is written.
     first._task.cancel()
     slow = TenureTimes(renew_s=0.02, watch_s=0.02, silence_s=1000.0)
     second = await keepers.add("a/2", slow)
@@ -216,8 +216,8 @@
     await keepers.wait_for(lambda: first.term)
     await keepers.add("a/2")
     await asyncio.sleep(0.5)
-    gained = [name for name, term in keepers.terms if term]
-    assert gained in (["a/1"], ["a/1", "a/2"])
+    holders = [name for name, term in keepers.terms if term]
+    assert holders in (["a/1"], ["a/1", "a/2"])
 
 
 async def test_a_renewal_without_an_answer_is_repeated_well_before_others_claim(
@@ -225,9 +225,9 @@
 ):
     first = await keepers.add("a", TIMES)
     await keepers.wait_for(lambda: first.term)
-    keepers.log.hold = 1
+    keepers.log.held_answer_count = 1
     await keepers.add("b", TIMES)
-    await keepers.wait_for(lambda: not keepers.log.hold)
+    await keepers.wait_for(lambda: not keepers.log.held_answer_count)
     before = len(keepers.log.streams["tenure"])
     await keepers.wait_for(lambda: len(keepers.log.streams["tenure"]) > before + 2)
     assert [name for name, term in keepers.terms if term] == ["a"]
@@ -241,15 +241,15 @@
     reads, appends, renewals = log.reads, log.appends, len(log.streams["tenure"])
     await keepers.wait_for(lambda: len(log.streams["tenure"]) >= renewals + 40)
     assert log.reads - reads <= 20
-    # Nobody tries to claim what is held: only the holder appends.
-    tried = log.appends - appends
-    assert tried <= len(log.streams["tenure"]) - renewals + 1
+    # Only the holder appends: nobody tries to claim a tenure that is held.
+    append_count = log.appends - appends
+    assert append_count <= len(log.streams["tenure"]) - renewals + 1
     assert [name for name, term in keepers.terms if term] == ["a"]
 
 
 async def test_a_tenure_that_can_not_be_read_is_logged_once_each_time(caplog):
-    # The log answered reads of the tenure's stream with what could not be decoded:
-    # the instance did not claim, look after look, and never said why.
+    # Guards against an instance that can't read the tenure's stream, for instance since
+    # the answers can't be decoded, does not claim and never logs why.
     log = MemoryLog()
     keeper = TenureKeeper(log, "one", QUICK, lambda: UNFIT, lambda _: None)
     with caplog.at_level("INFO"):
@@ -262,10 +262,10 @@
     assert [line.fields["reason"].code for line in lines] == [Code.LOG_UNAVAILABLE] * 2
 
 
-async def wait_for_reads(log: MemoryLog, more: int) -> None:
-    wanted = log.reads + more
+async def wait_for_reads(log: MemoryLog, additional_reads: int) -> None:
+    target_reads = log.reads + additional_reads
     async with asyncio.timeout(5):
-        while log.reads < wanted:
+        while log.reads < target_reads:
             await asyncio.sleep(0.005)
 
 
@@ -294,11 +294,10 @@
 
 @pytest.mark.parametrize("fitness", [Fitness.OLD_CONFIGURATION, Fitness.OLD_STATE])
 async def test_a_tenure_is_claimed_though_nobody_is_fresh(keepers, fitness):
-    # Only an instance whose configuration and state were read within 2 s claimed. Where
-    # none had, each left the claim to others and accepted work stood still, though the
-    # tenure's own stream could be read and a take-over reads the log anyway. In a soak
-    # the tenure was free from 40.86 on, the log back at 42.40, and the claim came at
-    # 43.56, 0.15 s after the first of seven instances had read the operators' stream.
+    # Guards against a free tenure that nobody claims since no instance has read its
+    # configuration and state within 2 s: accepted jobs were not scheduled, though the
+    # tenure's own stream could be read and a take-over reads the log anyway. After one
+    # outage the claim came only 1.16 s after the log had returned.
     first = await keepers.add("a")
     await keepers.wait_for(lambda: first.term)
     second = await keepers.add("b")
@@ -322,11 +321,9 @@
 
 
 async def test_an_offer_that_the_log_did_not_keep_is_made_again(keepers):
-    # A leaving owner offered its tenure once. Where a renewal under way had moved the
-    # stream on, or the log was away, the offer was lost, and others waited for its
-    # silence to count:
-    #     tenure-released term=1 result="<Failure: 210 LOG_UNAVAILABLE ...>"
-    #     tenure-offered term=1 claimed=False took_s=2.001
+    # Guards against a leaving owner that offers its tenure only once. The offer was
+    # lost if the log was unavailable or a renewal under way had moved the end of the
+    # stream; other instances could then claim only after silence_s.
     first = await keepers.add("a", TIMES)
     await keepers.wait_for(lambda: first.term)
     keepers.log.down = True
@@ -345,49 +342,51 @@
 
 
 async def test_a_history_that_is_gone_ends_no_watch(keepers):
-    # Where the stream's history was gone, the holder's silence was counted from a look
-    # 0.4 s later, though the newest record was there and was the one that was known.
-    # Killed owners were followed after 1.9 s at half, 2.3 s at most, else after 1.4 s.
+    # Guards against a watcher that counts the holder's silence anew, from a read 0.4 s
+    # later, if the stream's history is gone though its newest record is unchanged.
+    # Killed owners were then replaced after a median of 1.9 s, at most 2.3 s, instead
+    # of 1.4 s.
     first = await keepers.add("a", TIMES)
     await keepers.wait_for(lambda: first.term)
     second = await keepers.add("b", TIMES)
     await keepers.wait_for(lambda: second._view.newest is not None)
     first._task.cancel()
     await second._watch()
-    quiet_since_s = second._view.changed_s
-    keepers.log.first["tenure"] = len(keepers.log.streams["tenure"]) + 1
+    unchanged_since_s = second._view.changed_s
+    keepers.log.first_offsets["tenure"] = len(keepers.log.streams["tenure"]) + 1
     await second._watch()
     assert second._loaded
-    assert second._view.changed_s == quiet_since_s
+    assert second._view.changed_s == unchanged_since_s
     assert second._view.is_read
 
 
 async def test_watchers_spread_anew_with_each_holder(keepers):
-    # Each instance drew once when it looks, and looks each 1.12 s. Whoever looks alone
-    # claims and leaves the watchers, so that those that look together stay: three
-    # looked within 20 ms of each other over four owners; a claim came 0.4 s later.
+    # Instances read every 1.12 s at a random phase. Guards against a phase that is
+    # drawn only once: an instance that reads alone claims and stops watching, so that
+    # those that read at the same time remain. Over four owners, three instances read
+    # within 20 ms of each other, and a claim came 0.4 s later.
     keepers.log.down = True
     keeper = await keepers.add("a")
-    for holder, drawn_anew in (("b", True), ("b", False), ("c", True)):
+    for holder, is_redrawn in (("b", True), ("b", False), ("c", True)):
         keeper._first_pause_share = 1.0
         record = TenureRecord(holder, 7)
         stored = StoredRecord(7, OWNER_KEY, msgspec.msgpack.encode(record))
         keeper._take_records(8, (stored,), 0.0)
-        assert (keeper._first_pause_share < 1.0) == drawn_anew
+        assert (keeper._first_pause_share < 1.0) == is_redrawn
 
 
 async def test_a_term_that_was_given_up_is_not_gained_again(keepers):
-    # An owner whose decision failed gave its term up, and one renewal, kept without an
-    # answer, still named it. The instance took that for a claim of its own and held the
-    # same term again: terms [1, 0, 1]. Its new writers began at the first sequence of
-    # an epoch that the log knew, which answers a known one with its first answer and
-    # keeps nothing: what was acknowledged to a worker had no record.
+    # Guards against an owner that gives up its term after failed decisions and gains
+    # the same term again (terms [1, 0, 1]) from its own renewal that was stored without
+    # an answer. Its new writers then started at the first sequence of an epoch that the
+    # log had already seen. The log repeats its old answer to such appends and stores
+    # nothing, so that ends of tasks were acknowledged to workers without a record.
     first = await keepers.add("a")
     await keepers.wait_for(lambda: first.term)
     term = first.term
     await keepers.wait_for(lambda: len(keepers.log.streams["tenure"]) > 2)
-    keepers.log.hold = 1
-    await keepers.wait_for(lambda: not keepers.log.hold)
+    keepers.log.held_answer_count = 1
+    await keepers.wait_for(lambda: not keepers.log.held_answer_count)
     first.give_up("its decisions failed")
     await keepers.wait_for(lambda: first.term)
     assert first.term > term
@@ -395,12 +394,13 @@
 
 
 async def test_renewals_that_are_kept_without_an_answer_renew_leases(keepers):
-    # While each answer of the log was lost, the holder's records came once a second, so
-    # that nobody else claimed; it read each of them back, and renewed no worker's lease
-    # from 8 s after the last answer on. What ran lapsed 10 s later, all over the fleet.
+    # Guards against a holder that stops renewing workers' leases while every answer of
+    # the log is lost. Its renewals were stored once a second, so that nobody else
+    # claimed the tenure, and it read them back, but it renewed no lease from 8 s after
+    # the last answer on. All running tasks lapsed 10 s later.
     first = await keepers.add("a")
     await keepers.wait_for(lambda: first.term)
-    keepers.log.lose = 1_000_000
+    keepers.log.lost_answer_count = 1_000_000
     await asyncio.sleep(2 * QUICK.predecessor_s)
     now_s = asyncio.get_running_loop().time()
     assert first.term
@@ -408,14 +408,14 @@
 
 
 async def test_slow_answers_do_not_spread_renewals_out(keepers):
-    # A holder paused for 0.3 s after each answer. Where answers took 0.6 s, on a slow
-    # link or beside a busy processor, its records came 0.9 s apart; others claim from
-    # 1.1 s on. With a link slowed by 0.3 s each way owners changed in 7 of 8 tries, and
-    # a tenure's stream was seen that grew by 0.9 records a second.
+    # Guards against a holder that pauses for 0.3 s after each answer instead of each
+    # call. With answers after 0.6 s, from a slow link or a busy processor, its records
+    # were 0.9 s apart, and others claim after 1.1 s. With a link slowed by 0.3 s each
+    # way, owners changed in 7 of 8 runs.
     first = await keepers.add("a", TIMES)
     await keepers.wait_for(lambda: first.term)
     first._answer_times.note_answer(1.0)
-    keepers.log.answer_s = 0.6
+    keepers.log.answer_delay_s = 0.6
     await keepers.wait_for(lambda: len(keepers.log.streams["tenure"]) > 2)
     before = len(keepers.log.streams["tenure"])
     await asyncio.sleep(3.2)
--- a/tests/control/test_worker_session.py
+++ b/tests/control/test_worker_session.py
@@ -1,4 +1,4 @@
-"""Check what a session tells of orders whose answers are lost."""
+"""Check the calls of a worker session when answers are lost or workers restart."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 
 class ScriptedWorker:
-    """Answer starts one after the other as written."""
+    """Simulated worker that answers starts with the given codes in turn."""
 
     def __init__(self, *codes: Code | None):
         self.codes = list(codes)
@@ -52,7 +52,7 @@
     started_ms=0,
     limits=None,
 ) -> WorkerSession:
-    """Return a session with a worker whose clock was just heard of, at 0."""
+    """Return a session with a worker whose clock was last read just now, at 0."""
     return WorkerSession(
         "w0",
         "address",
@@ -74,7 +74,7 @@
         ((None,), None, False),
         ((Code.ATTEMPT_TOO_OLD,), Code.ATTEMPT_TOO_OLD, False),
         ((Code.WORKER_SILENT, None), None, True),
-        # The first try began the task, which had ended when the second one came.
+        # The first try started the task, which had ended before the second arrived.
         ((Code.WORKER_SILENT, Code.ATTEMPT_TOO_OLD), Code.ATTEMPT_TOO_OLD, True),
         ((Code.WORKER_SILENT, Code.WORKER_FULL), Code.WORKER_FULL, True),
         ((Code.WORKER_SILENT, Code.WORKER_SILENT), Code.WORKER_SILENT, True),
@@ -85,18 +85,18 @@
     ],
 )
 async def test_a_refusal_after_a_lost_answer_proves_nothing(codes, code, may_act):
-    told = []
-    session = make_session(ScriptedWorker(*codes), tell=told.append)
+    messages = []
+    session = make_session(ScriptedWorker(*codes), tell=messages.append)
     session.order_start(ORDER)
     async with asyncio.timeout(10):
-        while not told:
+        while not messages:
             await asyncio.sleep(0.005)
     await session.close()
-    assert told == [StartAnswer("w0", ORDER.task, ORDER.attempt, code, may_act)]
+    assert messages == [StartAnswer("w0", ORDER.task, ORDER.attempt, code, may_act)]
 
 
 class RecordingWorker:
-    """Keep the starts it gets and answer them; its clock stands at ``clock_ms``."""
+    """Simulated worker that records starts; its clock always shows ``clock_ms``."""
 
     def __init__(self, clock_ms: int = 0):
         self.starts = []
@@ -110,10 +110,12 @@
         return Success(WorkerReport(self._clock_ms, (), ()))
 
 
-async def start_after_rest(worker: RecordingWorker, rest_s: float, lease_s: float):
-    """Return the order that a session sends whose last answer is ``rest_s`` old."""
+async def capture_start_after_idle(
+    worker: RecordingWorker, idle_s: float, lease_s: float
+):
+    """Return the first start of a session whose last answer is ``idle_s`` old."""
     session = make_session(
-        worker, clock=WorkerClock(0, read_steady_s() - rest_s), lease_s=lease_s
+        worker, clock=WorkerClock(0, read_steady_s() - idle_s), lease_s=lease_s
     )
     session.order_start(ORDER)
     async with asyncio.timeout(10):
@@ -124,55 +126,55 @@
 
 
 async def test_a_lease_is_over_in_time_after_a_rest_with_a_slow_clock():
-    # The worker's clock is 2 % slow and was last heard of some time ago. The start is
-    # carried out 1.5 s late, so that the worker's own bound doesn't shorten its lease.
-    rest_s, late_s, rate = 29.0, 1.5, 0.98
+    # The worker's clock is 2 % slow and was last read 29 s ago. The start is carried
+    # out 1.5 s late, so that the worker's own limit on leases does not shorten it.
+    idle_s, late_s, rate = 29.0, 1.5, 0.98
     policy = FleetPolicy()
-    order = await start_after_rest(RecordingWorker(), rest_s, policy.lease_s)
-    longest_ms = 1000 * ((rest_s + late_s) * rate + policy.lease_s)
+    order = await capture_start_after_idle(RecordingWorker(), idle_s, policy.lease_s)
+    longest_ms = 1000 * ((idle_s + late_s) * rate + policy.lease_s)
     until_ms = min(order.lease_until_ms, longest_ms)
-    lasts_s = until_ms / 1000 / rate - rest_s
+    lasts_s = until_ms / 1000 / rate - idle_s
     assert lasts_s <= policy.lapse_s
 
 
 async def test_a_start_after_a_long_rest_asks_for_the_clock_first():
-    rest_s = 600.0
-    worker = RecordingWorker(clock_ms=int(rest_s * 1000))
-    order = await start_after_rest(worker, rest_s, 6.0)
-    assert order.lease_until_ms >= rest_s * 1000 + 6000
+    idle_s = 600.0
+    worker = RecordingWorker(clock_ms=int(idle_s * 1000))
+    order = await capture_start_after_idle(worker, idle_s, 6.0)
+    assert order.lease_until_ms >= idle_s * 1000 + 6000
 
 
-async def tell_start(worker, grants: list[float | None]) -> list[Message]:
-    """Return what a session tells of a start for which leases are granted in turn."""
-    told = []
+async def collect_start_messages(worker, grants: list[float | None]) -> list[Message]:
+    """Return the messages on one start whose tries get the given leases in turn."""
+    messages = []
     session = make_session(
-        worker, tell=told.append, grant_start=lambda *_: grants.pop(0)
+        worker, tell=messages.append, grant_start=lambda *_: grants.pop(0)
     )
     session.order_start(ORDER)
     async with asyncio.timeout(10):
-        while not told:
+        while not messages:
             await asyncio.sleep(0.005)
     await session.close()
-    return told
+    return messages
 
 
 async def test_a_start_that_may_not_be_sent_is_told_as_dropped():
     worker = RecordingWorker()
-    told = await tell_start(worker, [None])
-    assert told == [StartDropped("w0", ORDER.task, ORDER.attempt)]
+    messages = await collect_start_messages(worker, [None])
+    assert messages == [StartDropped("w0", ORDER.task, ORDER.attempt)]
     assert not worker.starts
 
 
 async def test_a_start_is_not_sent_again_once_it_is_not_wanted():
     worker = ScriptedWorker(Code.WORKER_SILENT, None)
-    told = await tell_start(worker, [6.0, None])
+    messages = await collect_start_messages(worker, [6.0, None])
     code = Code.WORKER_SILENT
-    assert told == [StartAnswer("w0", ORDER.task, ORDER.attempt, code, True)]
+    assert messages == [StartAnswer("w0", ORDER.task, ORDER.attempt, code, True)]
     assert worker.codes == [None]
 
 
-class MuteWorker:
-    """Keep the calls for reports it gets; the first one has no answer."""
+class SilentAtFirstWorker:
+    """Simulated worker that records calls and leaves the first one unanswered."""
 
     def __init__(self):
         self.calls = []
@@ -186,8 +188,9 @@
 
 
 async def test_a_lease_is_not_renewed_after_silence_until_an_answer():
-    # What had no answer may have been done: a second one would not end in time.
-    worker = MuteWorker()
+    # The unanswered renewal may have taken effect; a second one would extend the lease
+    # beyond the time when the owner takes it as over.
+    worker = SilentAtFirstWorker()
     session = make_session(worker)
     await session.start()
     async with asyncio.timeout(10):
@@ -199,11 +202,11 @@
 
 
 async def test_starts_that_wait_for_the_clock_share_one_report():
-    rest_s = 600.0
-    worker = RecordingWorker(clock_ms=int(rest_s * 1000))
-    told = []
+    idle_s = 600.0
+    worker = RecordingWorker(clock_ms=int(idle_s * 1000))
+    messages = []
     session = make_session(
-        worker, tell=told.append, clock=WorkerClock(0, read_steady_s() - rest_s)
+        worker, tell=messages.append, clock=WorkerClock(0, read_steady_s() - idle_s)
     )
     for _ in range(3):
         session.order_start(ORDER)
@@ -211,12 +214,13 @@
         while len(worker.starts) < 3:
             await asyncio.sleep(0.005)
     await session.close()
-    assert sum(isinstance(message, ReportAnswer) for message in told) == 1
+    assert sum(isinstance(message, ReportAnswer) for message in messages) == 1
 
 
 async def test_a_worker_whose_clock_is_unknown_is_asked_without_a_wait():
-    # It is off the list and reached by its address alone: its lease runs out.
-    worker = MuteWorker()
+    # Such a worker is off the list and only its address is known. No lease can be
+    # granted without its clock, and the current lease would expire during a wait.
+    worker = SilentAtFirstWorker()
     session = make_session(worker, clock=WorkerClock())
     await session.start()
     async with asyncio.timeout(10):
@@ -229,7 +233,7 @@
 
 
 class IntermittentWorker:
-    """Leave the second call and every stop unanswered, answer all other calls."""
+    """Simulated worker that answers all calls but the second and all stops."""
 
     def __init__(self):
         self.call_count = 0
@@ -256,23 +260,23 @@
 )
 async def test_an_idle_worker_that_missed_a_call_is_asked_until_it_answers(call):
     # Without further requests the worker stays silent and is assigned no tasks.
-    told = []
+    messages = []
     worker = IntermittentWorker()
-    session = make_session(worker, tell=told.append)
+    session = make_session(worker, tell=messages.append)
     session.set_busy(False)
     await session.start()
     async with asyncio.timeout(10):
-        while not told:
+        while not messages:
             await asyncio.sleep(0.005)
         call(session)
-        while len(told) < 2:
+        while len(messages) < 2:
             await asyncio.sleep(0.005)
-        assert _get_code(told[1]) is Code.WORKER_SILENT
-        while len(told) < 3:
+        assert _get_code(messages[1]) is Code.WORKER_SILENT
+        while len(messages) < 3:
             await asyncio.sleep(0.005)
     await session.close()
-    assert isinstance(told[2], ReportAnswer)
-    assert isinstance(told[2].result, Success)
+    assert isinstance(messages[2], ReportAnswer)
+    assert isinstance(messages[2].result, Success)
 
 
 def _get_code(message: Message) -> Code | None:
@@ -285,7 +289,7 @@
 
 
 class RestartingWorker:
-    """Record calls; report the ends in ``numbers`` as of the start ``started_ms``."""
+    """Simulated worker that reports the ends in ``numbers`` and ``started_ms``."""
 
     def __init__(self):
         self.calls = []
@@ -340,14 +344,14 @@
 
 
 class StartLosingWorker(RestartingWorker):
-    """Answer reports, and no start."""
+    """Simulated worker that answers requests for reports but no starts."""
 
     async def start_task(self, order):
         return Failure(Problem(Code.WORKER_SILENT))
 
 
 async def test_a_worker_that_left_a_call_unanswered_forgot_ends_nobody_had_seen():
-    # It may have restarted since, and have ended other tasks by the same numbers.
+    # The worker may have restarted since and use the same numbers for other ends.
     worker, counts = StartLosingWorker(), []
 
     def acknowledge_after_start(message: Message) -> None:
@@ -388,7 +392,7 @@
 
 
 class FencingWorker:
-    """Restart when a start arrives, and refuse the start as fenced."""
+    """Simulated worker that restarts on a start and refuses the start as fenced."""
 
     def __init__(self):
         self.started_ms = 1000
@@ -405,41 +409,41 @@
 
 async def test_a_start_fenced_by_a_token_of_the_same_owner_does_not_end_the_tenure():
     # The owner gives up the tenure when a call is refused as fenced.
-    told = []
+    messages = []
     tokens = iter(range(1, 1000))
     session = make_session(
         FencingWorker(),
-        tell=told.append,
+        tell=messages.append,
         get_token=lambda: next(tokens),
         started_ms=1000,
     )
     await session.start()
     session.order_start(ORDER)
     async with asyncio.timeout(10):
-        while not any(isinstance(message, StartAnswer) for message in told):
+        while not any(isinstance(message, StartAnswer) for message in messages):
             await asyncio.sleep(0.005)
     await session.close()
-    (answer,) = [message for message in told if isinstance(message, StartAnswer)]
+    (answer,) = [message for message in messages if isinstance(message, StartAnswer)]
     assert answer.code is Code.ORDER_TOO_LATE
 
 
 class UnreachableWorker:
-    """Leave the first call unanswered at once, and later ones until ``gives_up``."""
+    """Simulated worker whose first call fails at once, later ones on ``times_out``."""
 
     def __init__(self):
         self.call_count = 0
-        self.gives_up = asyncio.Event()
+        self.times_out = asyncio.Event()
 
     async def renew(self, call):
         self.call_count += 1
         if self.call_count > 1:
-            await self.gives_up.wait()
+            await self.times_out.wait()
         return Failure(Problem(Code.WORKER_SILENT))
 
 
 async def test_a_first_call_does_not_wait_for_calls_to_silent_workers():
     limits = CallLimits(asyncio.Semaphore(1), asyncio.Semaphore(1))
-    unreachable, worker = UnreachableWorker(), MuteWorker()
+    unreachable, worker = UnreachableWorker(), SilentAtFirstWorker()
     silent = make_session(unreachable, limits=limits)
     await silent.start()
     async with asyncio.timeout(10):
