--- a/src/larkhoist/ports/task_worker.py
+++ b/src/larkhoist/ports/task_worker.py
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """One running attempt; ``share`` is its reported progress in percent."""
+    """One running attempt; ``share`` is a reported percentage that is not used."""
 
     task: str
     attempt: int
