--- a/src/larkhoist/log/__init__.py
+++ b/src/larkhoist/log/__init__.py
@@ -1,1 +1,1 @@
-"""Keep what must last or be agreed: records, their fold, and group commit."""
+"""Replicate state through the log: records, their fold, snapshots and group commit."""
--- a/src/larkhoist/log/commit.py
+++ b/src/larkhoist/log/commit.py
@@ -1,8 +1,8 @@
-"""Decide when an instance may append, within a counted budget.
+"""Batch records for the log and limit the rate of appends.
 
-Records wait together and leave as one batch (group commit). One batch is under
-way at a time; a batch whose fate is not known is appended again as it is, since
-the fold takes a sequence number once.
+Waiting records are appended as one batch (group commit), one batch at a time. A batch
+is appended again unchanged while it is unknown whether it was stored: the fold applies
+each sequence number of a writer only once.
 """
 
 from collections import deque
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class AppendBudget:
-    """Hold a token bucket; ``rate`` is in appends a second."""
+    """A token bucket; ``rate`` is in appends per second."""
 
     rate: float
     burst: float
@@ -25,7 +25,7 @@
     refilled_s: float
 
     def get_wait(self, now_s: float) -> float:
-        """Return the seconds until one append may be made."""
+        """Return the seconds until an append is allowed."""
         self._refill(now_s)
         if self.tokens >= 1:
             return 0.0
@@ -44,7 +44,11 @@
 
 @dataclass(slots=True)
 class CommitQueue:
-    """Hold the records of one writer until the log has kept them."""
+    """The records of one writer that the log has not confirmed yet.
+
+    ``under_way`` is the batch being appended, ``sequence`` the number of the last
+    batch made.
+    """
 
     writer: str
     max_waiting: int = 10_000
@@ -53,14 +57,17 @@
     sequence: int = 0
 
     def add(self, record: Record) -> bool:
-        """Queue ``record``; return False where the queue is full."""
+        """Queue ``record``; return False if the queue is full."""
         if len(self.waiting) >= self.max_waiting:
             return False
         self.waiting.append(record)
         return True
 
     def take_batch(self, now_ms: int) -> Batch | None:
-        """Return the batch to append next, the unsettled one first."""
+        """Return the batch to append next: the unconfirmed one, if any, again.
+
+        Returns None if nothing waits.
+        """
         if self.under_way is not None:
             return self.under_way
         if not self.waiting:
@@ -72,5 +79,5 @@
         return self.under_way
 
     def settle(self) -> None:
-        """Note that the batch under way is on the log."""
+        """Record that the log has stored the batch under way."""
         self.under_way = None
--- a/src/larkhoist/log/fold.py
+++ b/src/larkhoist/log/fold.py
@@ -1,8 +1,8 @@
-"""Fold the platform's log into the agreed state.
+"""Fold the platform's log into the replicated state.
 
-The fold is a pure function of the records and their offsets, so that every
-instance decides the same. The first claim wins; a confirm is refused where an
-object that it touches has changed since the plan was made.
+The fold depends only on the records and their offsets, so that every instance reaches
+the same state. The first claim on a key or job wins. The confirmation of a plan is
+refused if an object that it changes has changed since the plan was made.
 """
 
 from larkhoist.codes import Code
@@ -46,30 +46,30 @@
 ]
 
 CLAIM_WINDOW_MS = 30 * 60 * 1000
-"""How long a claimed key is remembered, in milliseconds of log time."""
+"""How long a claimed key is kept, in milliseconds of log time."""
 
 ENDED_JOB_WINDOW_MS = 24 * 60 * 60 * 1000
 PLAN_WINDOW_MS = 24 * 60 * 60 * 1000
 WRITER_WINDOW_MS = 24 * 60 * 60 * 1000
-EXPIRY_STEP_MS = 1000
+EXPIRY_INTERVAL_MS = 1000
 
 
 class LogGapError(Exception):
-    """Report that the next record to fold is missing."""
+    """The next record to fold is missing."""
 
 
 def make_claim_key(service: str, key: str) -> str:
-    """Return the name under which a claim is kept."""
+    """Return the key of a claim in ``ClusterState.claims``."""
     return f"{service}\n{key}"
 
 
 def get_claim(state: ClusterState, service: str, key: str) -> ClaimEntry | None:
-    """Return the claim on a key, or None where nobody holds one."""
+    """Return the claim on a key, or None if it is unclaimed."""
     return state.claims.get(make_claim_key(service, key))
 
 
 def get_object_key(change: Change) -> str:
-    """Return the name under which the version of a changed object is kept."""
+    """Return the key of a changed object in ``ClusterState.versions``."""
     match change:
         case CustomerPut(spec):
             return f"customer/{spec.name}"
@@ -86,8 +86,8 @@
 def fold_batch(state: ClusterState, offset: int, batch: Batch) -> None:
     """Fold the batch at ``offset`` into ``state``, once.
 
-    Raises ``LogGapError`` where an earlier offset has not been folded. An offset
-    that was folded before, and a batch that was appended twice, change nothing.
+    An offset that was folded before, or a batch that was appended twice, changes
+    nothing. Raises ``LogGapError`` if an earlier offset has not been folded.
     """
     if offset < state.next_offset:
         return
@@ -98,11 +98,11 @@
     if writer is not None and batch.sequence <= writer.sequence:
         return
     state.writers[batch.writer] = WriterEntry(batch.sequence, batch.at_ms)
-    before_ms = state.log_ms
+    previous_ms = state.log_ms
     state.log_ms = max(state.log_ms, batch.at_ms)
     for record in batch.records:
         _fold_record(state, record)
-    if before_ms // EXPIRY_STEP_MS != state.log_ms // EXPIRY_STEP_MS:
+    if previous_ms // EXPIRY_INTERVAL_MS != state.log_ms // EXPIRY_INTERVAL_MS:
         _expire(state)
 
 
@@ -138,7 +138,7 @@
         outcome = ConfirmOutcome(Code.PLAN_UNKNOWN, state.revision, state.log_ms)
         state.confirms[plan_id] = outcome
         return
-    winner = _find_winner(state, plan)
+    winner = _find_conflict(state, plan)
     if winner is not None:
         state.confirms[plan_id] = ConfirmOutcome(
             Code.STALE_BASE, state.revision, state.log_ms, winner.plan_id
@@ -156,13 +156,13 @@
     state.confirms[plan_id] = outcome
 
 
-def _find_winner(state: ClusterState, plan: PlanProposed) -> ObjectVersion | None:
+def _find_conflict(state: ClusterState, plan: PlanProposed) -> ObjectVersion | None:
     for change in plan.changes:
         version = state.versions.get(get_object_key(change))
         if version is not None and version.revision > plan.base_revision:
             return version
-        # A guarantee is checked against all the others, so that any change to
-        # a customer since the base makes the check of this plan worthless.
+        # Guarantees were checked together with those of all other customers, so a
+        # change to any customer since the base revision invalidates that check.
         if isinstance(change, CustomerPut):
             newest = state.customers_version
             if newest is not None and newest.revision > plan.base_revision:
@@ -216,7 +216,11 @@
 
 
 def count_early_loss(before: int, lost_early: bool | None) -> int:
-    """Return how many attempts in a row lost a member soon after their start."""
+    """Return the number of early losses in a row, given the one ``before``.
+
+    ``lost_early`` tells whether the latest attempt lost a member soon after its start;
+    None leaves the count as it is.
+    """
     match lost_early:
         case None:
             return before
@@ -237,9 +241,9 @@
 
 
 def _expire(state: ClusterState) -> None:
-    _drop_leading(state.claims, state.log_ms - CLAIM_WINDOW_MS, lambda c: c.at_ms)
-    _drop_leading(state.plan_times, state.log_ms - PLAN_WINDOW_MS, lambda at: at)
-    _drop_leading(state.confirms, state.log_ms - PLAN_WINDOW_MS, lambda c: c.at_ms)
+    _drop_expired(state.claims, state.log_ms - CLAIM_WINDOW_MS, lambda c: c.at_ms)
+    _drop_expired(state.plan_times, state.log_ms - PLAN_WINDOW_MS, lambda at: at)
+    _drop_expired(state.confirms, state.log_ms - PLAN_WINDOW_MS, lambda c: c.at_ms)
     for plan_id in list(state.plans):
         if plan_id in state.plan_times:
             break
@@ -255,8 +259,8 @@
             del state.writers[writer]
 
 
-def _drop_leading(entries, limit_ms, get_ms) -> None:
-    # Entries stand in the order of the log, so the old ones come first.
+def _drop_expired(entries, limit_ms, get_ms) -> None:
+    # Entries are in log order, oldest first.
     expired = []
     for name, entry in entries.items():
         if get_ms(entry) >= limit_ms:
--- a/src/larkhoist/log/objects.py
+++ b/src/larkhoist/log/objects.py
@@ -1,6 +1,6 @@
-"""Hold the objects that operators configure, as data classes.
+"""Define the objects that operators configure.
 
-They are frozen and go onto the platform's log as they are.
+They are immutable and are written to the platform's log in this form.
 """
 
 import msgspec
@@ -8,25 +8,25 @@
 __all__ = ["Adjacency", "Cell", "CustomerSpec", "Guarantee", "JobSpec", "ServiceSpec"]
 
 Adjacency = str
-"""How near the members of a gang must be: ``worker``, ``rack`` or ``hall``."""
+"""The unit that must hold all members of a gang: ``worker``, ``rack`` or ``hall``."""
 
 
 class Cell(msgspec.Struct, frozen=True, array_like=True):
-    """Hold ``count`` blocks of ``accelerators`` adjacent accelerators each."""
+    """``count`` blocks of ``accelerators`` adjacent accelerators each."""
 
     accelerators: int
     count: int
 
 
 class Guarantee(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the cells that one customer may claim in one data hall."""
+    """The cells guaranteed to one customer in one data hall."""
 
     hall: str
     cells: tuple[Cell, ...]
 
 
 class CustomerSpec(msgspec.Struct, frozen=True, array_like=True):
-    """Describe one customer; ``share`` weighs it against the others."""
+    """A customer; ``share`` is its weight relative to the others."""
 
     name: str
     share: int = 1
@@ -34,10 +34,10 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, array_like=True):
-    """Describe one service of small requests.
+    """A service of small requests.
 
     ``echoes_request_id`` states that its upstreams return the header
-    ``Larkhoist-Request-Id``, with refusals too; only then are connections used again.
+    ``Larkhoist-Request-Id``, also on refusals; only then are connections reused.
     """
 
     name: str
@@ -47,10 +47,10 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """Describe one gang job of ``members`` tasks of equal shape.
+    """A gang job of ``members`` tasks of equal shape.
 
-    ``accelerators`` counts per member, ``declared_s`` is the run time in seconds
-    that the customer expects, ``hall`` is empty where any will do.
+    ``accelerators`` is the number per member, ``declared_s`` the run time in seconds
+    that the customer expects. ``hall`` is empty if any data hall will do.
     """
 
     job_id: str
@@ -68,5 +68,5 @@
 
     @property
     def total(self) -> int:
-        """Return the number of accelerators over all members."""
+        """Return the number of accelerators of all members together."""
         return self.members * self.accelerators
--- a/src/larkhoist/log/plan.py
+++ b/src/larkhoist/log/plan.py
@@ -1,4 +1,4 @@
-"""Work out what a plan would change and whether it may be confirmed."""
+"""Describe the changes of a plan and check whether it may be confirmed."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -25,7 +25,7 @@
 
 
 class PlanLine(msgspec.Struct, frozen=True):
-    """Hold one line of a plan as the operator reads it."""
+    """One line of a plan as shown to the operator."""
 
     action: str
     object: str
@@ -62,9 +62,9 @@
             case JobPut(spec):
                 problems += check_job(spec, customers, halls)
             case CustomerRemoved(name) if name not in state.customers:
-                problems.append(_make_unknown("remove.customers", name))
+                problems.append(_make_not_found_problem("remove.customers", name))
             case ServiceRemoved(name) if name not in state.services:
-                problems.append(_make_unknown("remove.services", name))
+                problems.append(_make_not_found_problem("remove.services", name))
     return problems
 
 
@@ -76,10 +76,12 @@
     """Return every reason why a job can never run."""
     problems = []
     if spec.customer not in customers:
-        problems.append(_make_unknown(f"job {spec.job_id} customer", spec.customer))
-    chosen = {n: i for n, i in halls.items() if spec.hall in ("", n)}
+        problems.append(
+            _make_not_found_problem(f"job {spec.job_id} customer", spec.customer)
+        )
+    candidates = {n: i for n, i in halls.items() if spec.hall in ("", n)}
     shape = (spec.members, spec.accelerators, spec.adjacency)
-    if not any(index.find(*shape) for index in chosen.values()):
+    if not any(index.find(*shape) for index in candidates.values()):
         problems.append(
             Problem(
                 Code.JOB_NEVER_RUNNABLE,
@@ -103,14 +105,14 @@
 
 def _check_guarantees(customers, halls) -> list[Problem]:
     problems = []
-    named = {g.hall for spec in customers.values() for g in spec.guarantees}
-    for hall in sorted(named):
+    hall_names = {g.hall for spec in customers.values() for g in spec.guarantees}
+    for hall in sorted(hall_names):
         cells: Counter[int] = Counter()
         for spec in customers.values():
             for guarantee in spec.guarantees:
                 if guarantee.hall == hall:
                     cells.update(count_cells(guarantee.cells))
-        covered, reason = _cover(halls.get(hall), cells)
+        covered, reason = _check_coverage(halls.get(hall), cells)
         if not covered:
             problems.append(
                 Problem(
@@ -123,13 +125,13 @@
     return problems
 
 
-def _cover(index: FreeIndex | None, cells: Counter[int]) -> tuple[bool, str]:
+def _check_coverage(index: FreeIndex | None, cells: Counter[int]) -> tuple[bool, str]:
     if index is None:
         return False, "the data hall has no workers"
     return can_cover(index, cells, index.get_largest_size())
 
 
-def _make_unknown(field: str, name: str) -> Problem:
+def _make_not_found_problem(field: str, name: str) -> Problem:
     return Problem(Code.NOT_FOUND, field=field, value=name, remedy="correct the name")
 
 
--- a/src/larkhoist/log/records.py
+++ b/src/larkhoist/log/records.py
@@ -1,7 +1,7 @@
-"""Hold the kinds of record that go onto the platform's log.
+"""Define the records of the platform's log.
 
-A record is an intent; the fold decides what it changes. Records travel in
-batches, one batch for one append.
+A record is a request for a change; the fold decides what it changes. Each append
+writes one batch of records.
 """
 
 import msgspec
@@ -65,7 +65,7 @@
 
 
 class PlanProposed(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Keep an operator's plan until it is confirmed."""
+    """Store an operator's plan until it is confirmed."""
 
     plan_id: str
     base_revision: int
@@ -81,7 +81,7 @@
 
 
 class ClaimMade(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Claim the only send of a request that is not repeatable."""
+    """Claim the right to send a request that is not repeatable, once."""
 
     service: str
     key: str
@@ -91,7 +91,7 @@
 
 
 class ClaimReleased(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Give a claim back; its holder promises that it never sent and never will."""
+    """Release a claim whose holder has not sent the request and never will."""
 
     service: str
     key: str
@@ -105,14 +105,14 @@
 
 
 class JobClaimed(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Take a waiting job into one data hall; the first claim wins."""
+    """Claim a pending job for one data hall; the first claim wins."""
 
     job_id: str
     hall: str
 
 
 class JobPlaced(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Note that every member of an attempt was started."""
+    """Record that every member of an attempt was started."""
 
     job_id: str
     hall: str
@@ -121,10 +121,10 @@
 
 
 class JobRequeued(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Note that an attempt has ended everywhere and that the job waits again.
+    """Record that all members of an attempt have ended and that the job waits again.
 
-    ``lost_early`` tells whether it lost a member with its worker soon after its start;
-    None where it lost none, or nobody knows.
+    ``lost_early`` tells whether the attempt lost a member together with its worker
+    soon after its start; None if it lost none, or if that is unknown.
     """
 
     job_id: str
@@ -135,7 +135,7 @@
 
 
 class JobFinished(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Note the final result of a job."""
+    """Record the final result of a job."""
 
     job_id: str
     hall: str
@@ -158,11 +158,11 @@
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the records of one append.
+    """The records of one append.
 
-    ``writer`` is one incarnation of one instance and ``sequence`` counts its
+    ``writer`` names one incarnation of an instance and ``sequence`` numbers its
     batches, so that a batch appended twice is folded once. ``at_ms`` is the
-    writer's clock, in milliseconds since the epoch of Unix.
+    writer's clock in milliseconds since the Unix epoch.
     """
 
     writer: str
@@ -183,6 +183,6 @@
 def decode_batch(data: bytes) -> Batch:
     """Return the batch in ``data``.
 
-    Raises ``msgspec.DecodeError`` where the bytes are not a batch.
+    Raises ``msgspec.DecodeError`` if the bytes are not a batch.
     """
     return _decoder.decode(data)
--- a/src/larkhoist/log/snapshot.py
+++ b/src/larkhoist/log/snapshot.py
@@ -1,7 +1,7 @@
-"""Turn the agreed state into bytes and back, whole or not at all.
+"""Encode the replicated state as a snapshot and decode it.
 
-A snapshot is cut into parts that each fit one append; a part carries the
-digest of the whole, so that a torn or mixed set of parts is never taken.
+A snapshot is split into parts that each fit into one append. Each part carries the
+digest of the whole state, so that an incomplete or mixed set of parts is rejected.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, array_like=True):
-    """Hold one part of a snapshot taken before ``next_offset``."""
+    """One part of a snapshot that covers the offsets before ``next_offset``."""
 
     next_offset: int
     digest: int
@@ -42,20 +42,20 @@
 def decode_part(data: bytes) -> SnapshotPart:
     """Return the part in ``data``.
 
-    Raises ``msgspec.DecodeError`` where the bytes are not a part.
+    Raises ``msgspec.DecodeError`` if the bytes are not a part.
     """
     return _part_decoder.decode(data)
 
 
 class SnapshotAssembler:
-    """Put parts together and keep the newest whole snapshot."""
+    """The newest complete snapshot among the parts added so far."""
 
     def __init__(self):
         self._parts: dict[tuple[int, int], dict[int, bytes]] = {}
         self.newest: ClusterState | None = None
 
     def add(self, part: SnapshotPart) -> None:
-        """Take one part; parts may come in any order and more than once."""
+        """Add one part; parts may come in any order and more than once."""
         if self.newest is not None and part.next_offset <= self.newest.next_offset:
             return
         parts = self._parts.setdefault((part.next_offset, part.digest), {})
--- a/src/larkhoist/log/state.py
+++ b/src/larkhoist/log/state.py
@@ -1,4 +1,4 @@
-"""Hold what the fold of the platform's log has come to."""
+"""Define the state that results from folding the platform's log."""
 
 from enum import StrEnum
 
@@ -19,7 +19,7 @@
 
 
 class JobState(StrEnum):
-    """Name the states of a job as the log knows it."""
+    """The state of a job on the log."""
 
     PENDING = "pending"
     CLAIMED = "claimed"
@@ -28,10 +28,10 @@
 
 
 class JobEntry(msgspec.Struct):
-    """Hold one job; ``attempt`` counts from 1 and fences late reports.
+    """A job; ``attempt`` counts from 1, and reports of earlier attempts are ignored.
 
-    ``failures`` counts attempts that failed, ``early_losses`` those in a row that lost
-    a member with its worker soon after their start.
+    ``failures`` is the number of failed attempts, ``early_losses`` the number of
+    attempts in a row that lost a member with its worker soon after their start.
     """
 
     spec: JobSpec
@@ -48,7 +48,7 @@
 
 
 class ClaimEntry(msgspec.Struct):
-    """Hold the only send of one idempotency key."""
+    """The claim on an idempotency key; its holder may send the request once."""
 
     claim_id: str
     instance: str
@@ -57,7 +57,7 @@
 
 
 class ConfirmOutcome(msgspec.Struct):
-    """Hold what a confirm came to; ``winner`` names the plan that came first."""
+    """The result of a confirmation; ``winner`` names the plan that it lost to."""
 
     code: int
     revision: int
@@ -66,24 +66,24 @@
 
 
 class ObjectVersion(msgspec.Struct):
-    """Hold the revision and the plan that last changed an object."""
+    """The revision and the plan that last changed an object."""
 
     revision: int
     plan_id: str
 
 
 class WriterEntry(msgspec.Struct):
-    """Hold the last batch that was folded from one writer."""
+    """The last batch that was folded from one writer."""
 
     sequence: int
     at_ms: int
 
 
 class ClusterState(msgspec.Struct):
-    """Hold the whole agreed state, equal on every instance at equal offsets.
+    """The whole replicated state, the same on every instance at the same offset.
 
-    ``next_offset`` is the first offset not yet folded. ``log_ms`` is the
-    largest writer's clock seen, and the only clock that the fold knows.
+    ``next_offset`` is the first offset not yet folded. ``log_ms`` is the largest
+    ``Batch.at_ms`` folded so far; the fold uses no other clock.
     """
 
     next_offset: int = 0
