--- a/src/larkhoist/requests/__init__.py
+++ b/src/larkhoist/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Decide what happens to one small request."""
+"""Dispatch small requests: queueing, routing, retries and claims."""
--- a/src/larkhoist/requests/claim.py
+++ b/src/larkhoist/requests/claim.py
@@ -1,8 +1,8 @@
 """Decide whether a request that is not repeatable may be sent.
 
-The first claim of a key that the log folds holds the only send. Its holder sends
-only while the claim is young, so that a holder that was paused for longer than
-the log remembers keys does not send again.
+The first claim on a key in the log wins the right to send once. Its holder sends only
+while the claim is younger than half of ``CLAIM_WINDOW_MS``: keys are forgotten after
+that window, and a holder that was paused for longer must not send a second time.
 """
 
 from dataclasses import dataclass
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimDecision:
-    """Hold whether the claim is ours; ``problem`` says why it is not."""
+    """Whether the claim was granted to this request; ``problem`` says why not."""
 
     ours: bool
     problem: Problem | None = None
 
 
 def decide_claim(entry: ClaimEntry | None, claim_id: str, digest: int) -> ClaimDecision:
-    """Decide by the folded entry of the key, once our own claim was folded."""
+    """Decide by the key's entry after this request's own claim has been folded."""
     if entry is None:
         return ClaimDecision(False, Problem(Code.CLAIM_UNAVAILABLE))
     if entry.claim_id == claim_id:
@@ -35,7 +35,7 @@
 
 
 def describe_other_claim(entry: ClaimEntry, digest: int) -> Problem:
-    """Return what to tell a caller whose key another request holds."""
+    """Return the problem for a caller whose key is claimed by another request."""
     if entry.digest != digest:
         return Problem(
             Code.KEY_REUSED,
@@ -46,9 +46,9 @@
 
 
 def check_claim_age(claimed_s: float, now_s: float) -> Problem | None:
-    """Refuse to send on a claim that was queued too long ago.
+    """Return a problem if the claim is too old to send on, else None.
 
-    ``claimed_s`` is the monotonic time before the claim was appended.
+    ``claimed_s`` is the monotonic time just before the claim was queued.
     """
     if now_s - claimed_s <= MAX_SEND_AGE_S:
         return None
--- a/src/larkhoist/requests/dispatcher.py
+++ b/src/larkhoist/requests/dispatcher.py
@@ -1,7 +1,7 @@
-"""Decide for each request of one service: send it where, queue it, or refuse it.
+"""Decide for each request of one service whether to send, queue or refuse it.
 
-A request that cannot be served before its deadline is refused at once, with the
-time at which coming back makes sense.
+A request that is not expected to be served before its deadline is refused at once,
+with the time after which a retry is worthwhile.
 """
 
 from dataclasses import dataclass
@@ -15,13 +15,13 @@
 
 __all__ = ["Dispatcher", "Queued", "Refused", "SendTo", "create_dispatcher"]
 
-SMOOTHING = 0.1
-FIRST_RETRY_AFTER_S = 1.0
+INTERVAL_SMOOTHING = 0.1
+DEFAULT_RETRY_AFTER_S = 1.0  # until the rate of the queue is known
 
 
 @dataclass(frozen=True, slots=True)
 class SendTo:
-    """Send the request to an upstream; its slot is counted already."""
+    """Send the request to ``upstream``, where a slot is already counted for it."""
 
     request_id: str
     upstream: str
@@ -29,21 +29,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """Wait: the request is given out later or refused at its deadline."""
+    """The request waits until it is sent or until its deadline."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Answer the request at once; it ran nowhere."""
+    """Answer the request with ``problem``; it was not run."""
 
     request_id: str
     problem: Problem
 
 
 class Dispatcher:
-    """Hold the queue, the upstreams and the retry budget of one service."""
+    """The queue, the upstreams and the retry budget of one service."""
 
     def __init__(self, policy: RequestPolicy):
         self.policy = policy
@@ -52,19 +52,19 @@
         self.retries = RetryBudget(
             policy.retry_ratio, policy.retry_burst, policy.retry_burst
         )
-        self._interval_s: float | None = None
-        self._finished_s: float | None = None
+        self._finish_interval_s: float | None = None
+        self._last_finish_s: float | None = None
 
     def offer(
         self, request: QueuedRequest, share: int, now_s: float
     ) -> SendTo | Queued | Refused:
-        """Decide about a request that has just come in."""
+        """Decide about a request that has just arrived."""
         if not self.queue:
             upstream = self.upstreams.choose(now_s)
             if upstream is not None:
                 self.upstreams.begin(upstream, now_s)
                 return SendTo(request.request_id, upstream)
-        problem = self._check_queue(request, now_s)
+        problem = self._find_refusal(request, now_s)
         if problem is not None:
             return Refused(request.request_id, problem)
         self.queue.push(request, share)
@@ -78,20 +78,26 @@
         self.upstreams.begin(upstream, now_s)
         return upstream
 
-    def finish(self, upstream: str, well: bool, now_s: float) -> list[SendTo | Refused]:
-        """Count an ended request and give its slot to the next in line."""
-        self.upstreams.finish(upstream, well, now_s)
-        self._note_finish(now_s)
+    def finish(
+        self, upstream: str, succeeded: bool, now_s: float
+    ) -> list[SendTo | Refused]:
+        """Count an ended request and give its slot to the next waiting one.
+
+        ``succeeded`` is False if the request was sent and the upstream did not
+        answer it.
+        """
+        self.upstreams.finish(upstream, succeeded, now_s)
+        self._update_finish_interval(now_s)
         return self.pump(now_s)
 
     def pump(self, now_s: float) -> list[SendTo | Refused]:
-        """Refuse what is late and give free slots to waiting requests."""
+        """Refuse requests past their deadline and give free slots to the others."""
         decisions: list[SendTo | Refused] = [
             Refused(
                 request.request_id,
-                Problem(Code.DEADLINE_IN_QUEUE, retry_after_s=self._get_wait()),
+                Problem(Code.DEADLINE_IN_QUEUE, retry_after_s=self._estimate_wait()),
             )
-            for request in self.queue.pop_late(now_s)
+            for request in self.queue.pop_expired(now_s)
         ]
         while self.queue:
             upstream = self.upstreams.choose(now_s)
@@ -102,10 +108,10 @@
             decisions.append(SendTo(request.request_id, upstream))
         return decisions
 
-    def _check_queue(self, request: QueuedRequest, now_s: float) -> Problem | None:
-        wait_s = self._get_wait()
+    def _find_refusal(self, request: QueuedRequest, now_s: float) -> Problem | None:
+        wait_s = self._estimate_wait()
         if not self.upstreams.names():
-            return Problem(Code.NO_UPSTREAM, retry_after_s=FIRST_RETRY_AFTER_S)
+            return Problem(Code.NO_UPSTREAM, retry_after_s=DEFAULT_RETRY_AFTER_S)
         if len(self.queue) >= self.policy.max_queue:
             return Problem(Code.QUEUE_FULL, retry_after_s=wait_s)
         if self.queue.count(request.customer) >= self.policy.max_customer_queue:
@@ -114,22 +120,25 @@
             return Problem(Code.DEADLINE_IN_QUEUE, retry_after_s=wait_s)
         return None
 
-    def _get_wait(self) -> float:
-        if self._interval_s is None:
-            return 0.0 if not self.queue else FIRST_RETRY_AFTER_S
-        return (len(self.queue) + 1) * self._interval_s
-
-    def _note_finish(self, now_s: float) -> None:
-        # Only while requests wait do finishes tell how fast the queue moves.
-        if self.queue and self._finished_s is not None:
-            gap_s = now_s - self._finished_s
-            if self._interval_s is None:
-                self._interval_s = gap_s
+    def _estimate_wait(self) -> float:
+        if self._finish_interval_s is None:
+            return 0.0 if not self.queue else DEFAULT_RETRY_AFTER_S
+        return (len(self.queue) + 1) * self._finish_interval_s
+
+    def _update_finish_interval(self, now_s: float) -> None:
+        # Without waiting requests, finishes follow the arrivals and say nothing about
+        # the rate at which the queue is served.
+        if self.queue and self._last_finish_s is not None:
+            interval_s = now_s - self._last_finish_s
+            if self._finish_interval_s is None:
+                self._finish_interval_s = interval_s
             else:
-                self._interval_s += SMOOTHING * (gap_s - self._interval_s)
-        self._finished_s = now_s if self.queue else None
+                self._finish_interval_s += INTERVAL_SMOOTHING * (
+                    interval_s - self._finish_interval_s
+                )
+        self._last_finish_s = now_s if self.queue else None
 
 
 def create_dispatcher(policy: RequestPolicy) -> Dispatcher:
-    """Return a dispatcher that knows no upstream yet."""
+    """Return a dispatcher without upstreams."""
     return Dispatcher(policy)
--- a/src/larkhoist/requests/policy.py
+++ b/src/larkhoist/requests/policy.py
@@ -1,4 +1,4 @@
-"""Hold the weights and bounds of the request policy."""
+"""Define the parameters of the request policy."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPolicy:
-    """Hold the request policy of one instance; times are in seconds.
+    """The request policy of one instance; times are in seconds.
 
     ``pack_share`` is the share of an upstream's slots up to which requests are
-    packed onto the fullest upstream; 0 spreads them. ``overcommit`` requests more
-    than an upstream has slots may wait at it, so that a slot that gets free is
-    used before the news of it has come.
+    packed onto the fullest upstream; 0 spreads them. ``overcommit`` is the
+    number of requests beyond its slots that may wait at an upstream, so that a freed
+    slot is reused before this instance learns of it.
     """
 
     pack_share: float = 0.75
--- a/src/larkhoist/requests/retry_budget.py
+++ b/src/larkhoist/requests/retry_budget.py
@@ -1,4 +1,4 @@
-"""Bound retries to a share of the first attempts."""
+"""Limit retries to a share of the first attempts."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Hold tokens: a first attempt adds ``ratio`` of one, a retry spends one."""
+    """A token bucket: a first attempt adds ``ratio`` tokens, a retry spends one."""
 
     ratio: float
     burst: float
@@ -18,7 +18,7 @@
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def try_spend(self) -> bool:
-        """Spend a token for one retry; return False where none is left."""
+        """Spend a token for one retry; return False if none is left."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
