--- a/src/larkhoist/membership/__init__.py
+++ b/src/larkhoist/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Know which instances, workers and upstreams are there."""
+"""Track the peers of an instance and decide whether it may serve or own its hall."""
--- a/src/larkhoist/membership/peers.py
+++ b/src/larkhoist/membership/peers.py
@@ -1,4 +1,4 @@
-"""Hold the messages between instances and what is known of peers."""
+"""Define the messages between instances and track the peers' latest gossip."""
 
 import msgspec
 
@@ -20,12 +20,12 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Tell a peer what an instance knows; the answer is the peer's own.
+    """The state of the sending instance; a peer replies with its own.
 
     ``address`` is where the sender's peer link listens, for a receiver that has
-    no list yet. ``next_offset`` is the state of the fold, ``in_flight`` counts
-    requests by upstream, ``ceilings`` are the slots that the hall's owner leaves
-    to requests.
+    no instance list yet. ``next_offset`` is the first offset that the sender has not
+    folded, ``in_flight`` its requests by upstream, ``ceilings`` the slots by upstream
+    that the hall's owner leaves to requests.
     """
 
     instance: str
@@ -42,36 +42,36 @@
 
 
 class TailRequest(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Ask a peer for log entries from an offset on."""
+    """A request for the log entries from an offset on."""
 
     from_offset: int
 
 
 class TailReply(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Hold log entries, or the whole state where the peer lacks the first ones."""
+    """Log entries, or the encoded state if the peer no longer has the first ones."""
 
     entries: tuple[LogEntry, ...]
     state: bytes = b""
 
 
 class ListRequest(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Ask a peer for the platform's list as it knows it."""
+    """A request for the peer's copy of the platform's instance list."""
 
 
 class ListReply(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Hold the platform's list."""
+    """The platform's instance list."""
 
     listed: InstanceList
 
 
 class ExplainRequest(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Ask a hall's owner why a job waits or where it runs."""
+    """A request to a hall's owner to explain why a job waits or where it runs."""
 
     job_id: str
 
 
 class ExplainReply(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Hold the explanation, empty where the receiver does not own the hall."""
+    """The explanation; empty if the replying instance does not own the hall."""
 
     text: str
 
@@ -97,37 +97,37 @@
 def decode_message(data: bytes) -> PeerMessage:
     """Return the message in ``data``.
 
-    Raises ``msgspec.DecodeError`` where the bytes are not a message.
+    Raises ``msgspec.DecodeError`` if the bytes are not a message.
     """
     return _decoder.decode(data)
 
 
 class PeerTable:
-    """Hold the newest gossip of each peer; ``live_s`` is how long it counts."""
+    """The latest gossip of each peer, which counts as live for ``live_s`` seconds."""
 
     def __init__(self, live_s: float):
         self._live_s = live_s
-        self._heard: dict[str, tuple[Gossip, float]] = {}
+        self._latest: dict[str, tuple[Gossip, float]] = {}
 
     def note(self, gossip: Gossip, now_s: float) -> None:
-        """Take a peer's gossip."""
-        self._heard[gossip.instance] = (gossip, now_s)
+        """Store a peer's gossip, received at ``now_s``."""
+        self._latest[gossip.instance] = (gossip, now_s)
 
     def get_live(self, now_s: float) -> list[Gossip]:
-        """Return the gossip of every peer heard of lately."""
-        return [g for g, at_s in self._heard.values() if now_s - at_s < self._live_s]
+        """Return the gossip of every live peer."""
+        return [g for g, at_s in self._latest.values() if now_s - at_s < self._live_s]
 
     def get_all(self) -> list[tuple[Gossip, float]]:
-        """Return every gossip with the time at which it came."""
-        return list(self._heard.values())
+        """Return the latest gossip of every peer with the time of its receipt."""
+        return list(self._latest.values())
 
     def find_owner(self, hall: str, now_s: float) -> Gossip | None:
-        """Return the newest gossip of a hall's owner, or None where none is live."""
+        """Return the gossip of the hall's live owner of highest epoch, or None."""
         owners = [g for g in self.get_live(now_s) if g.hall == hall and g.owner_epoch]
         return max(owners, key=lambda gossip: gossip.owner_epoch, default=None)
 
     def count_in_flight(self, hall: str, now_s: float) -> dict[str, int]:
-        """Return the peers' requests in flight by upstream of one hall."""
+        """Return the requests in flight of a hall's live peers, by upstream."""
         counts: dict[str, int] = {}
         for gossip in self.get_live(now_s):
             if gossip.hall == hall:
--- a/src/larkhoist/membership/readiness.py
+++ b/src/larkhoist/membership/readiness.py
@@ -11,17 +11,19 @@
 def decide_ready(
     reached_end: bool, next_offset: int, hall: str, peers: Iterable[Gossip]
 ) -> bool:
-    """Tell whether a fresh instance holds a state it may serve from.
+    """Tell whether the state of a starting instance is recent enough to serve.
 
-    ``reached_end`` tells whether it has read the platform's log to its end. With
-    the platform out of reach, a state as new as that of every ready peer of the
-    hall is enough; with no such peer, of every ready peer.
+    ``reached_end`` tells whether it has read the platform's log to its end. While the
+    platform is unreachable, a state as recent as that of every ready peer in the hall
+    is enough; if the hall has no ready peer, as that of every ready peer.
     """
     if reached_end:
         return True
     ready = [gossip for gossip in peers if gossip.ready]
-    near = [gossip for gossip in ready if gossip.hall == hall] or ready
-    return bool(near) and next_offset >= max(gossip.next_offset for gossip in near)
+    hall_peers = [gossip for gossip in ready if gossip.hall == hall] or ready
+    return bool(hall_peers) and next_offset >= max(
+        gossip.next_offset for gossip in hall_peers
+    )
 
 
 def decide_candidacy(
@@ -29,14 +31,14 @@
 ) -> bool:
     """Tell whether this instance should try to own its data hall.
 
-    It should where no live peer owns the hall and it comes first among those that
-    could. Two instances that see different peers may both try; the workers'
-    leases let at most one through.
+    It should if no live peer owns the hall and it comes first among the candidates
+    in the order of ``order_instances``. Two instances that see different peers may
+    both try; the workers' leases let at most one succeed.
     """
     if not ready or draining:
         return False
-    near = [gossip for gossip in peers if gossip.hall == hall]
-    if any(gossip.owner_epoch for gossip in near):
+    hall_peers = [gossip for gossip in peers if gossip.hall == hall]
+    if any(gossip.owner_epoch for gossip in hall_peers):
         return False
-    able = [g.instance for g in near if g.ready and not g.draining]
-    return order_instances(hall, [*able, instance])[0] == instance
+    candidates = [g.instance for g in hall_peers if g.ready and not g.draining]
+    return order_instances(hall, [*candidates, instance])[0] == instance
