--- a/src/larkhoist/border/__init__.py
+++ b/src/larkhoist/border/__init__.py
@@ -1,1 +1,1 @@
-"""Check what comes in from outside with validated models."""
+"""Validate input from outside: settings and intent files."""
--- a/src/larkhoist/border/intents.py
+++ b/src/larkhoist/border/intents.py
@@ -1,4 +1,4 @@
-"""Check intent files: customers with guarantees, services and jobs."""
+"""Validate intent files: customers with guarantees, services and jobs."""
 
 from typing import Annotated, Literal
 
@@ -25,21 +25,21 @@
 
 
 class CellModel(_Model):
-    """Check ``count`` blocks of ``accelerators`` adjacent accelerators."""
+    """``count`` blocks of ``accelerators`` adjacent accelerators each."""
 
     accelerators: PowerOfTwo
     count: Annotated[int, Field(ge=1, le=100_000)]
 
 
 class GuaranteeModel(_Model):
-    """Check the cells guaranteed in one data hall."""
+    """The cells guaranteed in one data hall."""
 
     hall: Name
     cells: Annotated[list[CellModel], Field(min_length=1, max_length=16)]
 
 
 class CustomerModel(_Model):
-    """Check one customer."""
+    """A customer in an intent file."""
 
     name: Name
     share: Annotated[int, Field(ge=1, le=1000)] = 1
@@ -47,7 +47,7 @@
 
 
 class ServiceModel(_Model):
-    """Check one service."""
+    """A service in an intent file."""
 
     name: Name
     timeout_ms: Annotated[int, Field(ge=1, le=3_600_000)] = 10_000
@@ -56,7 +56,7 @@
 
 
 class JobModel(_Model):
-    """Check one job."""
+    """A job, in an intent file or submitted alone."""
 
     name: Name
     customer: Name
@@ -73,14 +73,14 @@
 
 
 class RemoveModel(_Model):
-    """Check what an intent removes."""
+    """The customers and services that an intent file removes."""
 
     customers: list[Name] = []
     services: list[Name] = []
 
 
 class IntentModel(_Model):
-    """Check a whole intent file."""
+    """A whole intent file."""
 
     customers: Annotated[list[CustomerModel], Field(max_length=1000)] = []
     services: Annotated[list[ServiceModel], Field(max_length=1000)] = []
@@ -91,14 +91,16 @@
     def _check_names(self) -> "IntentModel":
         for field in ("customers", "services", "jobs"):
             names = [item.name for item in getattr(self, field)]
-            twice = sorted({name for name in names if names.count(name) > 1})
-            if twice:
-                raise ValueError(f"{field} names {', '.join(twice)} more than once")
+            duplicates = sorted({name for name in names if names.count(name) > 1})
+            if duplicates:
+                raise ValueError(
+                    f"{field} names {', '.join(duplicates)} more than once"
+                )
         return self
 
 
 def make_job_spec(model: JobModel) -> JobSpec:
-    """Return the job that a checked model describes."""
+    """Return the job that a validated model describes."""
     return JobSpec(
         job_id=model.name,
         customer=model.customer,
@@ -116,7 +118,7 @@
 
 
 def make_changes(intent: IntentModel) -> tuple[Change, ...]:
-    """Return the changes that a checked intent asks for."""
+    """Return the changes that a validated intent file asks for."""
     changes: list[Change] = [
         CustomerPut(_make_customer(model)) for model in intent.customers
     ]
--- a/src/larkhoist/border/loading.py
+++ b/src/larkhoist/border/loading.py
@@ -1,4 +1,4 @@
-"""Read JSON with comments and check it, listing every error at once."""
+"""Parse JSON with comments and validate it, reporting every error at once."""
 
 from typing import Any, TypeVar
 
@@ -25,7 +25,7 @@
 
 
 def load_model(model: type[Model], text: str) -> Result[Model, list[Problem]]:
-    """Return the checked model in ``text``, or every problem found."""
+    """Return the validated model in ``text``, or every problem found."""
     try:
         data = pyjson5.decode(text)
     except (pyjson5.Json5DecoderException, ValueError) as error:
@@ -42,14 +42,14 @@
 
 
 def check_model(model: type[Model], data: Any) -> Result[Model, list[Problem]]:
-    """Return ``data`` as a checked model, or every problem found."""
+    """Return ``data`` as a validated model, or every problem found."""
     try:
         return Success(model.model_validate(data))
     except ValidationError as error:
-        return Failure([_describe(item) for item in error.errors()])
+        return Failure([_make_problem(item) for item in error.errors()])
 
 
-def _describe(item: dict[str, Any]) -> Problem:
+def _make_problem(item: dict[str, Any]) -> Problem:
     code = _CODES.get(item["type"], Code.INVALID_VALUE)
     value = "" if code is Code.MISSING_FIELD else repr(item["input"])
     return Problem(
--- a/src/larkhoist/border/settings.py
+++ b/src/larkhoist/border/settings.py
@@ -1,4 +1,4 @@
-"""Check the settings file of one instance."""
+"""Validate the settings file of one instance."""
 
 from typing import Annotated
 
@@ -19,7 +19,7 @@
 
 
 class ListenSettings(_Model):
-    """Hold where the instance listens; addresses are IP numbers."""
+    """Where the instance listens; ``address`` is an IP address."""
 
     address: IpAddress = "127.0.0.1"
     http_port: Port
@@ -27,7 +27,7 @@
 
 
 class TimingSettings(_Model):
-    """Hold the times of the instance, in seconds unless the name says otherwise."""
+    """Intervals and time limits, in seconds."""
 
     gossip_s: Positive = 0.2
     list_poll_s: Positive = 0.5
@@ -44,7 +44,7 @@
 
 
 class LimitSettings(_Model):
-    """Hold the bounds of the instance."""
+    """Limits on sizes, queues, connections and the rate of appends."""
 
     max_body_bytes: PositiveCount = 1024 * 1024
     max_answer_bytes: PositiveCount = 8 * 1024 * 1024
@@ -59,7 +59,7 @@
 
 
 class PolicySettings(_Model):
-    """Hold the weights: how much to pack, how long a gang waits."""
+    """Scheduling policy: packing of requests, reservations for gangs, backfill."""
 
     pack_share: float = Field(0.75, ge=0, le=1)
     patience_s: Positive = 30.0
@@ -68,7 +68,7 @@
 
 
 class LogSettings(_Model):
-    """Hold how the instance writes logs and traces."""
+    """Logs and traces: format, level, and whether spans are logged."""
 
     format: Annotated[str, Field(pattern="^(keyvalue|json)$")] = "keyvalue"
     level: Annotated[str, Field(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
@@ -76,10 +76,10 @@
 
 
 class DaemonSettings(_Model):
-    """Hold the settings of one instance.
+    """The settings of one instance.
 
-    ``seed_peers`` are peer links of the hall, each an IP number with a port, for a
-    start while the platform's list is out of reach.
+    ``seed_peers`` are addresses of peer links in the hall, each an IP address with a
+    port, for a start while the platform's instance list is unreachable.
     """
 
     instance: Name
