--- a/src/larkhoist/adapters/__init__.py
+++ b/src/larkhoist/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Meet the ports over HTTP."""
+"""Implement the ports over HTTP."""
--- a/src/larkhoist/adapters/platform.py
+++ b/src/larkhoist/adapters/platform.py
@@ -1,4 +1,4 @@
-"""Meet the platform over HTTP."""
+"""Call the platform over HTTP."""
 
 import base64
 
@@ -33,7 +33,7 @@
 
 
 class HttpPlatform:
-    """Reach the platform's log and list over one HTTP session."""
+    """The platform's log and instance list over one HTTP session."""
 
     def __init__(self, url: str, instance: str):
         self._url = url
@@ -50,7 +50,11 @@
             await self._session.close()
 
     async def append(self, stream: str, data: bytes) -> Result[int, Problem]:
-        """Append one record and return its offset."""
+        """Append ``data`` as one entry and return its offset.
+
+        Fails with ``LOG_UNAVAILABLE`` if nothing was appended and ``APPEND_UNKNOWN`` if
+        the entry may have been appended.
+        """
         url = f"{self._url}/streams/{stream}/append"
         try:
             async with self._session.post(
@@ -70,7 +74,7 @@
     async def read(
         self, stream: str, from_offset: int, wait_s: float
     ) -> Result[LogPage, Problem]:
-        """Read from an offset, waiting up to ``wait_s`` for a first record."""
+        """Read from an offset, waiting up to ``wait_s`` for a first entry."""
         url = f"{self._url}/streams/{stream}/read"
         query = {"from": str(from_offset), "wait_ms": str(int(wait_s * 1000))}
         match await self._get(url, query, wait_s + CALL_TIMEOUT_S):
@@ -80,7 +84,7 @@
                 return failure
 
     async def list_instances(self) -> Result[InstanceList, Problem]:
-        """Return the platform's list."""
+        """Return the platform's instance list."""
         match await self._get(f"{self._url}/instances", {}, CALL_TIMEOUT_S):
             case Success(body):
                 return Success(msgspec.json.decode(body, type=InstanceList))
@@ -101,7 +105,7 @@
 
 
 def create_platform(url: str, instance: str) -> HttpPlatform:
-    """Return the platform at ``url``; ``instance`` tells it who calls."""
+    """Return the platform at ``url``; ``instance`` is sent as the user agent."""
     return HttpPlatform(url, instance)
 
 
--- a/src/larkhoist/adapters/upstream.py
+++ b/src/larkhoist/adapters/upstream.py
@@ -1,8 +1,8 @@
-"""Meet upstreams over HTTP, with an exact account of what may have been sent.
+"""Send requests to upstreams over HTTP and track whether they may have been sent.
 
-Requests always go out as POST, which the HTTP library never sends again by
-itself. A trace hook notes the moment at which a connection is handed over: until
-then no byte of the request can have left.
+Requests are always sent as POST, which the HTTP library never retries by itself. A
+trace hook records when a connection is assigned to the request: before that, no byte
+of it can have been sent.
 """
 
 from dataclasses import dataclass
@@ -23,36 +23,36 @@
 
 @dataclass(slots=True)
 class _SendProgress:
-    """Tell whether a byte of the request may have left."""
+    """Whether any byte of the request may have been sent."""
 
     may_have_sent: bool = False
 
 
 class HttpUpstream:
-    """Send requests over HTTP.
+    """A sender of requests over HTTP.
 
-    Connections are used again only for services whose upstreams return the
-    request id: without it, an answer that comes twice on one connection would
-    be taken for the answer to the next request.
+    Connections are reused only for services whose upstreams return the request id:
+    without it, a duplicate answer on a connection would be taken for the answer to the
+    next request.
     """
 
     def __init__(self):
-        self._fresh: aiohttp.ClientSession | None = None
-        self._reusing: aiohttp.ClientSession | None = None
+        self._single_use: aiohttp.ClientSession | None = None
+        self._keep_alive: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
         """Open the HTTP sessions."""
-        self._fresh = _open_session(force_close=True)
-        self._reusing = _open_session(force_close=False)
+        self._single_use = _open_session(force_close=True)
+        self._keep_alive = _open_session(force_close=False)
 
     async def close(self) -> None:
         """Close the HTTP sessions."""
-        for session in (self._fresh, self._reusing):
+        for session in (self._single_use, self._keep_alive):
             if session is not None:
                 await session.close()
 
     async def send(self, request: SendRequest) -> SendResult:
-        """Send once and return how it ended."""
+        """Send the request once and return the result."""
         progress = _SendProgress()
         try:
             return await self._exchange(request, progress)
@@ -69,7 +69,7 @@
     async def _exchange(
         self, request: SendRequest, progress: _SendProgress
     ) -> SendResult:
-        session = self._reusing if request.reuse else self._fresh
+        session = self._keep_alive if request.reuse else self._single_use
         headers = {
             "Content-Type": request.content_type,
             REQUEST_ID_HEADER: request.request_id,
@@ -90,17 +90,17 @@
 
 
 def create_upstream() -> HttpUpstream:
-    """Return a sender; start it before use."""
+    """Return a sender; call ``start`` before use."""
     return HttpUpstream()
 
 
 def _open_session(force_close: bool) -> aiohttp.ClientSession:
-    async def note_connection(_, context: SimpleNamespace, __) -> None:
+    async def mark_may_have_sent(_, context: SimpleNamespace, __) -> None:
         context.trace_request_ctx.may_have_sent = True
 
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(note_connection)
-    trace.on_connection_reuseconn.append(note_connection)
+    trace.on_connection_create_end.append(mark_may_have_sent)
+    trace.on_connection_reuseconn.append(mark_may_have_sent)
     connector = aiohttp.TCPConnector(
         limit=0, limit_per_host=MAX_CONNECTIONS_PER_UPSTREAM, force_close=force_close
     )
@@ -112,19 +112,19 @@
 async def _read_answer(
     response: aiohttp.ClientResponse, request: SendRequest
 ) -> SendResult:
-    has_end = response.content_length is not None or (
+    is_delimited = response.content_length is not None or (
         "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     )
     returned_id = response.headers.get(REQUEST_ID_HEADER)
     if returned_id != request.request_id and (request.reuse or returned_id):
         response.close()
         return SendResult(Code.ANSWER_MISMATCH)
-    # Only now: a refusal of another request says nothing of this one.
+    # After the check of the id: this may be the refusal of another request.
     if response.headers.get(NOT_RUN_HEADER) == "1":
         retry_after_s = _get_retry_after(response)
         return SendResult(Code.UPSTREAM_REFUSED, retry_after_s=retry_after_s)
-    if not has_end:
-        # The end of such an answer cannot be told from a cut.
+    if not is_delimited:
+        # Its end cannot be distinguished from a broken connection.
         response.close()
         return SendResult(Code.ANSWER_INCOMPLETE)
     if (response.content_length or 0) > request.max_answer_bytes:
--- a/src/larkhoist/adapters/worker.py
+++ b/src/larkhoist/adapters/worker.py
@@ -1,4 +1,4 @@
-"""Meet workers over HTTP."""
+"""Call workers over HTTP."""
 
 import aiohttp
 import msgspec
@@ -17,7 +17,7 @@
 
 
 class HttpWorker:
-    """Reach one worker; the session is shared and owned by the caller."""
+    """One worker; the HTTP session is shared and owned by the caller."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str, name: str):
         self._session = session
@@ -26,13 +26,13 @@
     async def lease(
         self, request: LeaseRequest, timeout_s: float = 1.0
     ) -> Result[LeaseReply, Problem]:
-        """Take or renew the lease of the worker."""
+        """Acquire or renew the lease on the worker."""
         return await self._post("lease", request, LeaseReply, timeout_s)
 
     async def command(
         self, request: CommandRequest, timeout_s: float = 1.0
     ) -> Result[CommandReply, Problem]:
-        """Carry out commands in their order."""
+        """Have the worker execute commands in order."""
         return await self._post("commands", request, CommandReply, timeout_s)
 
     async def _post(self, verb, request, reply_type, timeout_s):
@@ -53,5 +53,5 @@
 def create_worker(
     session: aiohttp.ClientSession, address: str, name: str
 ) -> HttpWorker:
-    """Return the worker ``name`` at ``address``, an IP number with a port."""
+    """Return the worker ``name`` at ``address``, an IP address with a port."""
     return HttpWorker(session, address, name)
