--- a/src/larkhoist/client/__init__.py
+++ b/src/larkhoist/client/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to the system as an operator."""
+"""The command-line client for operators."""
--- a/src/larkhoist/client/call.py
+++ b/src/larkhoist/client/call.py
@@ -1,4 +1,4 @@
-"""Call an instance and return what it said."""
+"""Call an instance and return its reply."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold the body of a call that went well, as decoded JSON."""
+    """The body of a successful call, as decoded JSON."""
 
     body: Any
 
@@ -25,7 +25,10 @@
 async def call_instance(
     method: str, server: str, path: str, text: str = ""
 ) -> Result[Reply, list[Problem]]:
-    """Call ``path`` at ``server``, an IP number with a port."""
+    """Call ``path`` at ``server``, an IP address with a port.
+
+    ``text`` is the body. Returns the reply, or every problem that was reported.
+    """
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
     try:
         async with (
@@ -34,9 +37,9 @@
         ):
             data = await response.read()
     except aiohttp.ClientConnectorError:
-        return Failure([_describe_silence(Code.CONNECT_FAILED, server)])
+        return Failure([_make_unreachable_problem(Code.CONNECT_FAILED, server)])
     except (aiohttp.ClientError, TimeoutError, OSError):
-        return Failure([_describe_silence(Code.CONNECTION_LOST, server)])
+        return Failure([_make_unreachable_problem(Code.CONNECTION_LOST, server)])
     return _read_reply(data)
 
 
@@ -63,6 +66,6 @@
     )
 
 
-def _describe_silence(code: Code, server: str) -> Problem:
+def _make_unreachable_problem(code: Code, server: str) -> Problem:
     remedy = "name an instance that runs with --server"
     return Problem(code, field="server", value=server, remedy=remedy)
--- a/src/larkhoist/client/main.py
+++ b/src/larkhoist/client/main.py
@@ -1,4 +1,4 @@
-"""Run ``larkhoist``, the operators' client."""
+"""Run ``larkhoist``, the command-line client for operators."""
 
 import asyncio
 import json
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Call:
-    """Hold one call to an instance."""
+    """One call to an instance."""
 
     method: str
     path: str
@@ -146,9 +146,9 @@
 
 
 def main() -> None:
-    """Run one command and exit with a code that programs can rely on.
+    """Run one command and exit with a stable exit code.
 
-    0 done, 1 refused, 2 wrong use, 3 unknown or out of reach.
+    0: success; 1: refused; 2: usage error; 3: outcome unknown or server unreachable.
     """
     client = cappa.parse(Client)
     try:
--- a/src/larkhoist/codes.py
+++ b/src/larkhoist/codes.py
@@ -1,8 +1,8 @@
-"""Number every result that a caller or an operator can see.
+"""Define the numbered results that callers and operators see.
 
-The hundreds tell the kind: 1 done, 2 not run, 3 unknown, 4 refused input,
-5 configuration, 6 jobs, 7 what the platform's log or a worker said.
-docs/RESULT-CODES.md holds the same table; a test compares the two.
+The first digit tells the kind: 1 done, 2 not run, 3 unknown, 4 refused input,
+5 configuration, 6 jobs, 7 replies of the platform's log or a worker.
+docs/RESULT-CODES.md has the same table; a test compares the two.
 """
 
 from enum import IntEnum
@@ -11,7 +11,7 @@
 
 
 class Code(IntEnum):
-    """Name each result number."""
+    """A numbered result."""
 
     ANSWERED = 100
     ACCEPTED = 110
@@ -132,17 +132,17 @@
 
 
 def describe_code(code: Code) -> str:
-    """Return the sentence that the table holds for ``code``."""
+    """Return the description of ``code``."""
     return _DESCRIPTIONS[code][1]
 
 
 def get_http_status(code: Code) -> int:
-    """Return the HTTP status that carries ``code``."""
+    """Return the HTTP status of a response with ``code``."""
     return _DESCRIPTIONS[code][0]
 
 
 def is_not_run(code: Code) -> bool:
-    """Tell whether ``code`` states that the request ran nowhere."""
+    """Tell whether ``code`` states that the request did not run."""
     return 200 <= code < 300
 
 
--- a/src/larkhoist/problem.py
+++ b/src/larkhoist/problem.py
@@ -1,4 +1,4 @@
-"""Describe a refusal or an error to people and programs in one shape."""
+"""Describe refusals and errors in one form for people and programs."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Hold one numbered result with what the reader needs to mend it.
+    """A numbered result with what the reader needs to correct the cause.
 
-    ``retry_after_s`` is in seconds; None means that coming back will not help.
+    ``retry_after_s`` is in seconds; None means that a retry will not help.
     """
 
     code: Code
