--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Check routing, limits, retries, ejection and early refusal on a passed clock."""
+"""Check routing, limits, retries, ejection and early refusal at given times."""
 
 import pytest
 
@@ -12,17 +12,17 @@
 from larkhoist.requests.policy import RequestPolicy
 from larkhoist.requests.upstream_set import UpstreamSet
 
-EXACT = RequestPolicy(pack_share=0.5, overcommit=0, eject_after=2, eject_s=5.0)
+POLICY = RequestPolicy(pack_share=0.5, overcommit=0, eject_after=2, eject_s=5.0)
 
 
-def make_set(count=3, slots=4, policy=EXACT):
+def make_upstreams(count=3, slots=4, policy=POLICY):
     upstreams = UpstreamSet(policy)
     for number in range(count):
         upstreams.put(f"u{number}", slots, 0.0)
     return upstreams
 
 
-def take(upstreams, count, now_s=0.0):
+def begin_requests(upstreams, count, now_s=0.0):
     chosen = []
     for _ in range(count):
         name = upstreams.choose(now_s)
@@ -33,50 +33,50 @@
 
 
 def test_requests_pack_up_to_the_share_then_spread():
-    upstreams = make_set()
-    assert take(upstreams, 6) == ["u0", "u0", "u1", "u1", "u2", "u2"]
-    assert take(upstreams, 3) == ["u0", "u1", "u2"]
+    upstreams = make_upstreams()
+    assert begin_requests(upstreams, 6) == ["u0", "u0", "u1", "u1", "u2", "u2"]
+    assert begin_requests(upstreams, 3) == ["u0", "u1", "u2"]
 
 
 def test_nothing_is_chosen_beyond_the_slots():
-    upstreams = make_set(count=1, slots=2)
-    assert take(upstreams, 3) == ["u0", "u0", None]
+    upstreams = make_upstreams(count=1, slots=2)
+    assert begin_requests(upstreams, 3) == ["u0", "u0", None]
 
 
 def test_load_of_other_instances_counts():
-    upstreams = make_set(count=2, slots=2)
+    upstreams = make_upstreams(count=2, slots=2)
     upstreams.set_remote("u0", 2, 0.0)
-    assert take(upstreams, 3) == ["u1", "u1", None]
+    assert begin_requests(upstreams, 3) == ["u1", "u1", None]
 
 
 def test_slots_that_jobs_use_are_left_alone():
-    upstreams = make_set(count=1, slots=4)
+    upstreams = make_upstreams(count=1, slots=4)
     upstreams.set_ceiling("u0", 1, 0.0)
-    assert take(upstreams, 2) == ["u0", None]
+    assert begin_requests(upstreams, 2) == ["u0", None]
 
 
 def test_leaving_upstream_gets_nothing_and_keeps_its_requests():
-    upstreams = make_set(count=2)
-    take(upstreams, 1)
+    upstreams = make_upstreams(count=2)
+    begin_requests(upstreams, 1)
     upstreams.set_leaving("u0", 0.0)
-    assert set(take(upstreams, 4)) == {"u1"}
+    assert set(begin_requests(upstreams, 4)) == {"u1"}
     upstreams.finish("u0", True, 1.0)
     assert upstreams.get_own() == {"u1": 4}
 
 
 def test_failing_upstream_is_ejected_and_returns_slowly():
-    upstreams = make_set(count=3, slots=4)
+    upstreams = make_upstreams(count=3, slots=4)
     for _ in range(2):
         upstreams.begin("u0", 0.0)
         upstreams.finish("u0", False, 0.0)
     assert upstreams.count_ejected() == 1
-    assert "u0" not in take(upstreams, 4, 1.0)
-    back = take(upstreams, 8, 5.1)
+    assert "u0" not in begin_requests(upstreams, 4, 1.0)
+    back = begin_requests(upstreams, 8, 5.1)
     assert back.count("u0") == 1
 
 
 def test_one_fault_cannot_eject_everybody():
-    upstreams = make_set(count=6)
+    upstreams = make_upstreams(count=6)
     for name in upstreams.names():
         for _ in range(10):
             upstreams.begin(name, 0.0)
@@ -222,27 +222,27 @@
 
 
 def test_an_upstream_that_comes_back_on_the_list_still_has_its_requests():
-    # An upstream with two requests in flight went off the list and came back: it
-    # counted none, took two too many, and its load fell below zero as the first ones
-    # ended.
-    upstreams = make_set(count=1, slots=2)
-    assert take(upstreams, 2) == ["u0", "u0"]
+    # Guards against losing the count of requests in flight when an upstream is removed
+    # and added again: it was sent two requests too many, and its load fell below zero
+    # as the earlier ones ended.
+    upstreams = make_upstreams(count=1, slots=2)
+    assert begin_requests(upstreams, 2) == ["u0", "u0"]
     upstreams.remove("u0")
     upstreams.put("u0", 2, 1.0)
     assert upstreams.get_own() == {"u0": 2}
-    assert take(upstreams, 1, 1000.0) == [None]
+    assert begin_requests(upstreams, 1, 1000.0) == [None]
     upstreams.finish("u0", True, 1000.0)
-    assert take(upstreams, 2, 1000.0) == ["u0", None]
+    assert begin_requests(upstreams, 2, 1000.0) == ["u0", None]
     for _ in range(2):
         upstreams.finish("u0", True, 1001.0)
     assert upstreams.get_own() == {}
 
 
 def test_requests_that_end_while_their_upstream_is_off_the_list_count_no_more():
-    # One of two requests ended while the upstream was off the list; its end was not
-    # counted, and the other one was not seen by anybody until the upstream came back.
-    upstreams = make_set(count=1, slots=2)
-    take(upstreams, 2)
+    # Guards against two faults while an upstream is removed: the end of a request was
+    # not counted, and the requests still in flight were not reported.
+    upstreams = make_upstreams(count=1, slots=2)
+    begin_requests(upstreams, 2)
     upstreams.remove("u0")
     upstreams.finish("u0", True, 0.5)
     assert upstreams.names() == []
@@ -250,12 +250,12 @@
     upstreams.remove("u0")
     upstreams.put("u0", 2, 1.0)
     assert upstreams.get_own() == {"u0": 1}
-    assert take(upstreams, 2, 1000.0) == ["u0", None]
+    assert begin_requests(upstreams, 2, 1000.0) == ["u0", None]
 
 
 def test_an_upstream_that_went_for_good_leaves_nothing_behind():
-    upstreams = make_set(count=1, slots=2)
-    take(upstreams, 1)
+    upstreams = make_upstreams(count=1, slots=2)
+    begin_requests(upstreams, 1)
     upstreams.remove("u0")
     upstreams.finish("u0", False, 0.5)
     upstreams.finish("u0", False, 0.5)
@@ -263,4 +263,4 @@
     assert upstreams.count_ejected() == 0
     upstreams.put("u0", 2, 1.0)
     assert upstreams.get_own() == {}
-    assert take(upstreams, 3, 1000.0) == ["u0", "u0", None]
+    assert begin_requests(upstreams, 3, 1000.0) == ["u0", "u0", None]
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""Check the fold: first claim wins, races are settled, nothing counts twice."""
+"""Check the fold: the first claim wins, races are decided, nothing counts twice."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 
 class Log:
-    """Fold records one batch at a time, as many writers."""
+    """A log that folds each added batch; batches may come from several writers."""
 
     def __init__(self):
         self.state = ClusterState()
@@ -122,7 +122,7 @@
 
 
 def test_two_plans_with_guarantees_from_one_base_do_not_both_pass():
-    # Each was checked alone against the racks; together they may not fit.
+    # Each plan was checked without the other; together they may not fit the racks.
     log = Log()
     log.add(put_customer("p1", 0, "c1"), put_customer("p2", 0, "c2"))
     log.add(PlanConfirmed("p1", "o"), PlanConfirmed("p2", "o"))
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,10 +1,9 @@
-"""Check that an upstream's refusal counts for the request that it names alone.
+"""Check that an upstream's refusal counts only for the request that it names.
 
-A connection was used again for a second request. A refusal of the first request came
-late, or twice, and was read as the answer to the second one, which ran: the header that
-states that a request has not run was read before the request ids were compared. The
-second request counted as not run and could be sent again elsewhere, though it may not
-be repeated.
+On a reused connection, a late or duplicate refusal of the first request can arrive as
+the answer to the second one, which runs. If ``Larkhoist-Not-Run`` is read before the
+request ids are compared, the second request counts as not run and may be sent again
+although it is not repeatable.
 """
 
 import asyncio
@@ -52,7 +51,7 @@
 
 @contextlib.asynccontextmanager
 async def open_server(*answers: bytes):
-    """Lend the address of a server that answers each connection's requests in turn."""
+    """Yield the address of a server that answers each connection's requests in turn."""
 
     async def answer_calls(reader, writer):
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -84,7 +83,7 @@
 
 @pytest.mark.parametrize("named", ["first", ""])
 async def test_a_refusal_of_another_request_is_not_taken_for_this_one(named):
-    # The second request runs; a refusal that doesn't name it comes before its answer.
+    # The second request runs, but a refusal that doesn't name it precedes its answer.
     late = make_answer(named, REFUSAL) + make_answer("second")
     async with open_server(make_answer("first"), late) as address:
         first, second = await send(address, True, "first", "second")
@@ -101,7 +100,7 @@
 
 @pytest.mark.parametrize(("reuse", "named"), [(True, "a"), (False, "a"), (False, "")])
 async def test_a_refusal_of_this_request_counts(reuse, named):
-    # A new connection carries one request: its refusal need not name it.
+    # A new connection carries only one request, so its refusal need not name it.
     refusal = make_answer(named, REFUSAL, "Retry-After: 3")
     async with open_server(refusal) as address:
         (result,) = await send(address, reuse, "a")
