--- a/src/larkhoist/daemon/__init__.py
+++ b/src/larkhoist/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run the decisions as one process on every entry instance."""
+"""The daemon of an entry instance: tasks, HTTP server and peer link."""
--- a/src/larkhoist/daemon/call.py
+++ b/src/larkhoist/daemon/call.py
@@ -1,4 +1,4 @@
-"""Read one caller's request and check its headers."""
+"""Read a caller's request and check its headers."""
 
 import uuid
 from collections.abc import Container, Mapping
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """Hold one request on its way through this instance.
+    """A caller's request while this instance serves it.
 
     ``deadline_s`` and ``claimed_s`` are on the monotonic clock.
     """
@@ -57,16 +57,18 @@
         return Problem(Code.NOT_FOUND, field="service", value=name)
     customer = request.headers.get(CUSTOMER_HEADER, "")
     if customer not in customers:
-        return _describe_header(CUSTOMER_HEADER, customer, "name a customer")
+        return _make_header_problem(CUSTOMER_HEADER, customer, "name a customer")
     repeatable = request.headers.get(REPEATABLE_HEADER, "yes").lower()
     if repeatable not in ("yes", "no"):
-        return _describe_header(REPEATABLE_HEADER, repeatable, "yes or no")
+        return _make_header_problem(REPEATABLE_HEADER, repeatable, "yes or no")
     key = request.headers.get(KEY_HEADER, "")
     if len(key) > MAX_KEY_LENGTH or (repeatable == "no" and not key):
-        return _describe_header(KEY_HEADER, key, f"1 to {MAX_KEY_LENGTH} characters")
+        return _make_header_problem(
+            KEY_HEADER, key, f"1 to {MAX_KEY_LENGTH} characters"
+        )
     deadline = request.headers.get(DEADLINE_HEADER, str(service.timeout_ms))
     if not deadline.isdigit() or int(deadline) == 0:
-        return _describe_header(DEADLINE_HEADER, deadline, "milliseconds above 0")
+        return _make_header_problem(DEADLINE_HEADER, deadline, "milliseconds above 0")
     try:
         body = await request.read()
     except web.HTTPRequestEntityTooLarge:
@@ -86,6 +88,6 @@
     )
 
 
-def _describe_header(name: str, value: str, remedy: str) -> Problem:
+def _make_header_problem(name: str, value: str, remedy: str) -> Problem:
     code = Code.INVALID_VALUE if value else Code.MISSING_FIELD
     return Problem(code, field=name, value=value[:MAX_KEY_LENGTH], remedy=remedy)
--- a/src/larkhoist/daemon/claimer.py
+++ b/src/larkhoist/daemon/claimer.py
@@ -1,4 +1,4 @@
-"""Claim the only send of requests that are not repeatable."""
+"""Claim idempotency keys, so that non-repeatable requests are sent only once."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class Claimer:
-    """Claim keys through the platform's log; ``wait_s`` bounds each claim."""
+    """Claims on the platform's log, each made within ``wait_s`` seconds."""
 
     def __init__(
         self, instance: str, keeper: StateKeeper, writer: LogWriter, wait_s: float
@@ -31,11 +31,11 @@
         self._wait_s = wait_s
 
     async def claim(self, call: Call) -> Problem | None:
-        """Claim the call's key; return why it must not be sent, or None."""
+        """Claim the call's key; return the problem if it must not be sent."""
         digest = xxhash.xxh3_64_intdigest(call.path.encode() + b"\n" + call.body)
-        held = get_claim(self._keeper.state, call.service.name, call.key)
-        if held is not None:
-            return describe_other_claim(held, digest)
+        existing = get_claim(self._keeper.state, call.service.name, call.key)
+        if existing is not None:
+            return describe_other_claim(existing, digest)
         if self._writer.failing:
             return _UNAVAILABLE
         call.claimed_s = asyncio.get_running_loop().time()
@@ -45,7 +45,7 @@
         return await self._commit(call, record)
 
     def release_unused(self, call: Call) -> None:
-        """Give the claim of a call back that has not run and never will."""
+        """Release the claim of a call that has not run and will never run."""
         if call.claim_id and not call.ledger.may_have_run:
             record = ClaimReleased(call.service.name, call.key, call.claim_id)
             self._writer.add(record)
--- a/src/larkhoist/daemon/clock.py
+++ b/src/larkhoist/daemon/clock.py
@@ -1,4 +1,4 @@
-"""Read the steady clock."""
+"""Read the monotonic clock."""
 
 import time
 
@@ -6,5 +6,5 @@
 
 
 def read_steady_s() -> float:
-    """Return the steady time in seconds, on the clock that event loops count by."""
+    """Return the monotonic time in seconds, on the clock that event loops use."""
     return time.monotonic()
--- a/src/larkhoist/daemon/entry.py
+++ b/src/larkhoist/daemon/entry.py
@@ -1,4 +1,4 @@
-"""Serve callers: bring each request to one final outcome."""
+"""Serve callers' requests, each with exactly one final outcome."""
 
 import asyncio
 import logging
@@ -28,11 +28,14 @@
 _logger = logging.getLogger(__name__)
 PUMP_INTERVAL_S = 0.05
 DEFAULT_RETRY_AFTER_S = 1.0
-LEAST_TIMEOUT_S = 0.001
+MIN_SEND_TIMEOUT_S = 0.001
 
 
 class EntryTask:
-    """Answer callers, each with an answer, 'not run' or 'unknown'."""
+    """The handler of callers' requests.
+
+    It reports each request as answered, refused, not run or unknown.
+    """
 
     def __init__(
         self,
@@ -57,15 +60,15 @@
         self.in_flight = 0
 
     async def start(self) -> None:
-        """Begin to refuse requests at their deadlines."""
-        self._task = asyncio.create_task(self._pump_forever())
+        """Start the task that refuses queued requests at their deadlines."""
+        self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop the task; requests must have ended before."""
+        """Stop the task; all requests must have ended."""
         await cancel_tasks([self._task])
 
     async def drain(self, timeout_s: float) -> bool:
-        """Wait until no request is under way; return False at the time-out."""
+        """Wait until no request is in flight; return False on time-out."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + timeout_s
         while self.in_flight and loop.time() < end_s:
@@ -74,26 +77,28 @@
 
     async def handle(self, request: web.Request) -> web.Response:
         """Answer one caller's request."""
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         parent = get_parent(request.headers.get("traceparent", ""))
         self.in_flight += 1
         try:
             with self._tracer.start_as_current_span("entry", context=parent) as span:
-                response, code = await self._answer(request, span, began_s)
+                response, code = await self._answer(request, span, started_s)
                 span.set_attribute("code", int(code))
-                _finish_headers(response, code, span)
+                _set_outcome_headers(response, code, span)
                 return response
         finally:
             self.in_flight -= 1
 
     async def _answer(
-        self, request: web.Request, span: Span, began_s: float
+        self, request: web.Request, span: Span, started_s: float
     ) -> tuple[web.Response, Code]:
         problem = self._check_serving()
         if problem is not None:
             return make_problem_response(problem), problem.code
         state = self._keeper.state
-        call = await read_call(request, state.services, state.customers, span, began_s)
+        call = await read_call(
+            request, state.services, state.customers, span, started_s
+        )
         if isinstance(call, Problem):
             return make_problem_response(call), call.code
         try:
@@ -101,17 +106,17 @@
         except asyncio.CancelledError:
             may_have_run = call.ledger.may_have_run
             code = Code.CALLER_GONE if may_have_run else Code.CALLER_GONE_EARLY
-            self._count(call, code, began_s)
+            self._count(call, code, started_s)
             raise
-        self._count(call, result.code, began_s)
+        self._count(call, result.code, started_s)
         if isinstance(result, Problem):
             return make_problem_response(result), result.code
         response = web.Response(status=result.status, body=result.body)
         response.headers["Content-Type"] = result.content_type
         return response, result.code
 
-    def _count(self, call: Call, code: Code, began_s: float) -> None:
-        seconds = asyncio.get_running_loop().time() - began_s
+    def _count(self, call: Call, code: Code, started_s: float) -> None:
+        seconds = asyncio.get_running_loop().time() - started_s
         self._metrics.count_request(int(code), seconds)
         log_event(
             _logger,
@@ -159,18 +164,18 @@
             if not call.repeatable:
                 problem = check_claim_age(call.claimed_s, loop.time())
                 if problem is not None:
-                    self._release(call, upstream, well=True)
+                    self._release(call, upstream, succeeded=True)
                     return problem
             result = await self._send_once(call, upstream)
             tried.add(upstream)
             if result.code is Code.ANSWERED:
                 return result
-            next_upstream = self._choose_again(call, result.code, frozenset(tried))
+            next_upstream = self._acquire_for_retry(call, result.code, frozenset(tried))
             if next_upstream is None:
-                return _conclude(call, result)
+                return _make_final_problem(call, result)
             upstream = next_upstream
 
-    def _choose_again(
+    def _acquire_for_retry(
         self, call: Call, code: Code, tried: frozenset[str]
     ) -> str | None:
         now_s = asyncio.get_running_loop().time()
@@ -181,7 +186,7 @@
         )
         if not may_retry:
             return None
-        return self._slots.acquire_again(call.service.name, tried, now_s)
+        return self._slots.acquire_for_retry(call.service.name, tried, now_s)
 
     async def _send_once(self, call: Call, upstream: str) -> SendResult:
         result = SendResult(Code.CONNECTION_LOST)
@@ -195,10 +200,10 @@
             call.ledger.note_result(result.code)
             return result
         finally:
-            self._release(call, upstream, well=result.code is Code.ANSWERED)
+            self._release(call, upstream, succeeded=result.code is Code.ANSWERED)
 
     def _make_request(self, call: Call, upstream: str, span: Span) -> SendRequest:
-        left_s = call.deadline_s - asyncio.get_running_loop().time()
+        remaining_s = call.deadline_s - asyncio.get_running_loop().time()
         return SendRequest(
             address=self._slots.get_address(upstream),
             path=call.path,
@@ -206,22 +211,22 @@
             content_type=call.content_type,
             request_id=call.request_id,
             trace_parent=get_trace_parent(span),
-            timeout_s=max(LEAST_TIMEOUT_S, left_s),
+            timeout_s=max(MIN_SEND_TIMEOUT_S, remaining_s),
             reuse=call.service.echoes_request_id,
             max_answer_bytes=self._max_answer_bytes,
         )
 
-    def _release(self, call: Call, upstream: str, well: bool) -> None:
+    def _release(self, call: Call, upstream: str, succeeded: bool) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._slots.release(call.service.name, upstream, well, now_s)
+        self._slots.release(call.service.name, upstream, succeeded, now_s)
 
-    async def _pump_forever(self) -> None:
+    async def _run(self) -> None:
         while True:
             await asyncio.sleep(PUMP_INTERVAL_S)
             self._slots.pump(asyncio.get_running_loop().time())
 
 
-def _conclude(call: Call, result: SendResult) -> Problem:
+def _make_final_problem(call: Call, result: SendResult) -> Problem:
     code = call.ledger.conclude(result.code)
     retry_after_s = result.retry_after_s
     if is_not_run(code) and retry_after_s is None:
@@ -229,7 +234,7 @@
     return Problem(code, retry_after_s=retry_after_s)
 
 
-def _finish_headers(response: web.Response, code: Code, span: Span) -> None:
+def _set_outcome_headers(response: web.Response, code: Code, span: Span) -> None:
     outcome = "refused"
     if code is Code.ANSWERED:
         outcome = "answer"
--- a/src/larkhoist/daemon/hall_owner.py
+++ b/src/larkhoist/daemon/hall_owner.py
@@ -1,4 +1,4 @@
-"""Own a data hall while this instance is the one to do so, and run its jobs."""
+"""Acquire ownership of a data hall and schedule its jobs while it is owned."""
 
 import asyncio
 import logging
@@ -29,14 +29,18 @@
 __all__ = ["HallOwner"]
 
 _logger = logging.getLogger(__name__)
-CLAIM_STEP_S = 2.0
-CATCH_UP_S = 1.0
-IDLE_ROUNDS = 4
-LEAST_SLOTS_FOR_REQUESTS = 2
+CLAIM_DELAY_PER_RANK_S = 2.0
+CATCH_UP_RETRY_S = 1.0
+IDLE_INTERVAL_FACTOR = 4
+MIN_SLOTS_FOR_REQUESTS = 2
 
 
 class HallOwner:
-    """Try for the hall when told to, and drive its scheduler while it is owned."""
+    """The owner of a data hall: acquires worker leases and runs the scheduler.
+
+    It asks for leases while ``is_candidate`` returns true, and schedules jobs while
+    it holds the leases of a majority of the hall's workers.
+    """
 
     def __init__(
         self,
@@ -65,91 +69,97 @@
         self._listed: dict[str, ListedWorker] = {}
         self._upstreams: dict[str, Instance] = {}
         self._halls: list[str] = []
-        self._totals = make_hall_indexes(())
+        self._hall_indexes = make_hall_indexes(())
         self._inbox: list[LeaseAnswer | CommandAnswer] = []
         self._first_seen: dict[str, float] = {}
         self._claimed: set[str] = set()
-        self._log_current = False
-        self._next_try_s = 0.0
+        self._log_read_to_end = False
+        self._next_tenure_s = 0.0
         self._next_catch_up_s = 0.0
-        self._catching_up: asyncio.Task[bool] | None = None
+        self._catch_up_task: asyncio.Task[bool] | None = None
         self._synced_offset: int | None = None
-        self._synced_current = False
-        self._waits_to_claim = False
+        self._synced_to_log_end = False
+        self._has_delayed_claims = False
         self._task: asyncio.Task | None = None
         self._random = random.Random()
 
     async def start(self) -> None:
-        """Begin to watch whether the hall needs an owner."""
+        """Start the periodic task that acquires the hall and schedules its jobs."""
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, limit_per_host=0)
         )
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Give the hall up and close every connection."""
-        await cancel_tasks([self._task, self._catching_up])
+        """Stop scheduling and close every connection; held leases expire."""
+        await cancel_tasks([self._task, self._catch_up_task])
         await self._close_links()
         if self._session is not None:
             await self._session.close()
 
     @property
     def epoch(self) -> int:
-        """Return the epoch of the owned hall, or 0 where it is not owned."""
+        """Return the epoch of the owned hall, or 0 if it is not owned."""
         return self.tenure.epoch if self.scheduler is not None else 0
 
     def count_leases(self) -> int:
-        """Return how many workers this instance holds the lease of."""
+        """Return the number of workers whose lease this instance holds."""
         now_s = asyncio.get_running_loop().time()
         return sum(self.tenure.holds(name, now_s) for name in self._workers)
 
     def count_jobs(self) -> int:
-        """Return how many jobs of the hall wait or run."""
+        """Return the number of waiting and running jobs of the hall."""
         return len(self.scheduler.jobs) if self.scheduler is not None else 0
 
     def explain(self, job_id: str) -> str:
-        """Return why a job waits or where it runs, empty where it is not ours."""
+        """Return why a job waits or where it runs.
+
+        The text is empty if this instance does not schedule the job.
+        """
         if self.scheduler is None or job_id not in self.scheduler.jobs:
             return ""
         return self.scheduler.explain(job_id, asyncio.get_running_loop().time())
 
     def get_fragmentation(self) -> float:
-        """Return the fragmentation of the hall, 0 where it is not owned."""
+        """Return the fragmentation of the hall, or 0 if it is not owned."""
         if self.scheduler is None:
             return 0.0
         return get_fragmentation(self.scheduler.accelerators.free, EXPECTED_MIX)
 
     def take_list(self, listed: InstanceList) -> None:
-        """Take over the workers and upstreams of the hall."""
-        near = [i for i in listed.instances if i.hall == self._hall]
+        """Replace the hall's workers and upstreams by those in the list."""
+        in_hall = [i for i in listed.instances if i.hall == self._hall]
         self._workers = {
-            i.name: i for i in near if i.kind == "worker" and i.accelerators
+            i.name: i for i in in_hall if i.kind == "worker" and i.accelerators
         }
         self._listed = {
             i.name: ListedWorker(i.rack, i.accelerators, i.leaving)
             for i in self._workers.values()
         }
-        self._upstreams = {i.name: i for i in near if i.kind == "upstream"}
-        self._totals = make_hall_indexes(listed.instances)
-        self._halls = sorted(self._totals)
+        self._upstreams = {i.name: i for i in in_hall if i.kind == "upstream"}
+        self._hall_indexes = make_hall_indexes(listed.instances)
+        self._halls = sorted(self._hall_indexes)
         now_s = asyncio.get_running_loop().time()
         self.tenure.set_workers(set(self._workers), now_s)
 
     def get_ceilings(self) -> dict[str, int]:
-        """Return the slots that requests may use at upstreams of the hall."""
+        """Return, by upstream of the hall, how many slots requests may use.
+
+        The result is empty if the hall is not owned.
+        """
         if self.scheduler is None:
             return {}
         ceilings = {}
         for upstream in self._upstreams.values():
             worker = self.scheduler.accelerators.workers.get(upstream.worker)
             if worker is not None:
-                left = upstream.slots - (worker.busy | worker.held).bit_count()
-                ceilings[upstream.name] = max(LEAST_SLOTS_FOR_REQUESTS, left)
+                free_slots = upstream.slots - (worker.busy | worker.held).bit_count()
+                ceilings[upstream.name] = max(MIN_SLOTS_FOR_REQUESTS, free_slots)
         return ceilings
 
     async def _run(self) -> None:
         while True:
-            rounds = 1 if self.tenure.is_trying else IDLE_ROUNDS
+            rounds = 1 if self.tenure.is_trying else IDLE_INTERVAL_FACTOR
             await asyncio.sleep(self._interval_s * rounds)
             try:
                 await self._tick(asyncio.get_running_loop().time())
@@ -157,67 +167,67 @@
                 _logger.exception("hall-owner-failed")
 
     async def _tick(self, now_s: float) -> None:
-        self._take_answers(now_s)
+        self._process_answers(now_s)
         self.tenure.update(now_s)
         if not self.tenure.is_trying:
-            if now_s >= self._next_try_s and self._workers and self._is_candidate():
-                await self._begin_trying(now_s)
+            if now_s >= self._next_tenure_s and self._workers and self._is_candidate():
+                await self._begin_tenure(now_s)
             return
-        await self._match_links()
+        await self._reconcile_links()
         if self.scheduler is None and self.tenure.has_majority:
-            self._gain()
+            self._gain_tenure()
         elif self.scheduler is not None and not self.tenure.has_majority:
-            await self._give_up(now_s, "majority-lost")
+            await self._end_tenure(now_s, "majority-lost")
             return
         elif self.tenure.must_yield(now_s) or self._is_outranked():
-            await self._give_up(now_s, "no-majority")
+            await self._end_tenure(now_s, "no-majority")
             return
         if self.scheduler is not None:
             self._catch_up(now_s)
             self._schedule(now_s)
 
     def _catch_up(self, now_s: float) -> None:
-        """Read the log to its end once in each tenure, beside the scheduling."""
-        if self._catching_up is not None:
-            if not self._catching_up.done():
+        """Read the log to its end once per tenure, without blocking scheduling."""
+        if self._catch_up_task is not None:
+            if not self._catch_up_task.done():
                 return
-            self._log_current = self._catching_up.result()
-            self._catching_up = None
-        if not self._log_current and now_s >= self._next_catch_up_s:
-            self._next_catch_up_s = now_s + CATCH_UP_S
-            self._catching_up = asyncio.create_task(self._follower.catch_up())
+            self._log_read_to_end = self._catch_up_task.result()
+            self._catch_up_task = None
+        if not self._log_read_to_end and now_s >= self._next_catch_up_s:
+            self._next_catch_up_s = now_s + CATCH_UP_RETRY_S
+            self._catch_up_task = asyncio.create_task(self._follower.catch_up())
 
     # Tenure.
 
-    async def _begin_trying(self, now_s: float) -> None:
+    async def _begin_tenure(self, now_s: float) -> None:
         self.tenure.begin(now_s)
         log_event(_logger, "tenure-tried", hall=self._hall, epoch=self.tenure.epoch)
-        await self._match_links()
+        await self._reconcile_links()
 
     def _is_outranked(self) -> bool:
-        # Two candidates that each hold half of the leases would go on for ever;
-        # the one that comes later in the order makes room.
+        # Two candidates that each hold half of the leases would block each other
+        # for ever, so the one that ranks lower ends its attempt.
         return self.scheduler is None and not self._is_candidate()
 
-    async def _give_up(self, now_s: float, reason: str) -> None:
+    async def _end_tenure(self, now_s: float, reason: str) -> None:
         log_event(_logger, "tenure-ended", epoch=self.tenure.epoch, reason=reason)
         self.scheduler = None
         self.tenure.end()
         pause_s = self.tenure.terms.renew_s * (0.5 + self._random.random())
-        self._next_try_s = now_s + pause_s
+        self._next_tenure_s = now_s + pause_s
         await self._close_links()
         self._inbox.clear()
 
-    def _gain(self) -> None:
+    def _gain_tenure(self) -> None:
         log_event(_logger, "tenure-gained", hall=self._hall, epoch=self.tenure.epoch)
         self.scheduler = create_hall_scheduler(self._hall, self._policy)
-        self._log_current = False
-        self._catching_up = None
+        self._log_read_to_end = False
+        self._catch_up_task = None
         self._synced_offset = None
-        self._synced_current = False
+        self._synced_to_log_end = False
         self._claimed.clear()
 
-    async def _match_links(self) -> None:
+    async def _reconcile_links(self) -> None:
         for name in self._links.keys() - self._workers.keys():
             await self._links.pop(name).close()
         for name in self._workers.keys() - self._links.keys():
@@ -237,10 +247,10 @@
         scheduler = self.scheduler
         match_workers(scheduler, self.tenure, self._listed, now_s)
         changed = self._synced_offset != self._keeper.state.next_offset
-        if changed or self._waits_to_claim:
+        if changed or self._has_delayed_claims:
             self._sync_jobs(now_s)
         if scheduler.has_recovering():
-            effects = recover_jobs(scheduler, self.tenure, self._log_current, now_s)
+            effects = recover_jobs(scheduler, self.tenure, self._log_read_to_end, now_s)
             self._carry_out(effects, now_s)
             if not scheduler.has_recovering():
                 log_event(_logger, "hall-recovered", jobs=len(scheduler.jobs))
@@ -249,12 +259,12 @@
     def _sync_jobs(self, now_s: float) -> None:
         state = self._keeper.state
         scheduler = self.scheduler
-        # An earlier owner may run any job that the log told of before its end was
-        # read in this tenure, however late this instance reads it.
-        recovering = not self._synced_current
+        # Jobs that were on the log before its end was read in this tenure may run
+        # under an earlier owner. The first synchronization after that still adds some.
+        recovering = not self._synced_to_log_end
         self._synced_offset = state.next_offset
-        self._synced_current = self._log_current
-        self._waits_to_claim = False
+        self._synced_to_log_end = self._log_read_to_end
+        self._has_delayed_claims = False
         scheduler.set_customers(state.customers)
         for job_id, entry in state.jobs.items():
             if entry.state is JobState.ENDED:
@@ -289,14 +299,14 @@
         spec = entry.spec
         if job_id in self._claimed or spec.hall not in ("", self._hall):
             return
-        total = self._totals.get(self._hall)
+        total = self._hall_indexes.get(self._hall)
         shape = (spec.members, spec.accelerators, spec.adjacency)
         if total is None or total.find(*shape) is None:
             return
         seen_s = self._first_seen.setdefault(job_id, now_s)
         rank = order_instances(job_id, self._halls).index(self._hall)
-        if not spec.hall and now_s < seen_s + rank * CLAIM_STEP_S:
-            self._waits_to_claim = True
+        if not spec.hall and now_s < seen_s + rank * CLAIM_DELAY_PER_RANK_S:
+            self._has_delayed_claims = True
             return
         self._first_seen.pop(job_id, None)
         self._claimed.add(job_id)
@@ -314,18 +324,18 @@
                     log_event(_logger, "job", **fields)
                     self._writer.add(record)
 
-    def _take_answers(self, now_s: float) -> None:
+    def _process_answers(self, now_s: float) -> None:
         answers, self._inbox[:] = list(self._inbox), []
         for answer in answers:
             if answer.epoch != self.tenure.epoch:
                 continue
             match answer:
                 case LeaseAnswer(worker, _, sent_s, reply):
-                    self._take_lease(worker, sent_s, reply, now_s)
+                    self._process_lease_answer(worker, sent_s, reply, now_s)
                 case CommandAnswer():
-                    self._take_commands(answer)
+                    self._process_command_answer(answer)
 
-    def _take_lease(self, worker, sent_s, reply, now_s) -> None:
+    def _process_lease_answer(self, worker, sent_s, reply, now_s) -> None:
         if reply is None:
             self.tenure.note_silence(worker)
             return
@@ -334,7 +344,7 @@
             effects = self.scheduler.note_report(worker, reply.tasks)
             self._carry_out(effects, now_s)
 
-    def _take_commands(self, answer: CommandAnswer) -> None:
+    def _process_command_answer(self, answer: CommandAnswer) -> None:
         if self.scheduler is None:
             return
         reply = answer.reply
--- a/src/larkhoist/daemon/instance.py
+++ b/src/larkhoist/daemon/instance.py
@@ -1,4 +1,4 @@
-"""Put the tasks of one entry instance together."""
+"""Assemble the tasks of one entry instance."""
 
 import asyncio
 import logging
@@ -19,7 +19,7 @@
 from larkhoist.daemon.logs import log_event
 from larkhoist.daemon.metrics import create_metrics
 from larkhoist.daemon.operator_api import OperatorApi
-from larkhoist.daemon.peer_link import QUIET_ROUNDS, PeerLink
+from larkhoist.daemon.peer_link import KEEPALIVE_ROUNDS, PeerLink
 from larkhoist.daemon.slot_table import SlotTable
 from larkhoist.daemon.snapshot_writer import SnapshotWriter
 from larkhoist.daemon.state_keeper import StateKeeper
@@ -38,18 +38,18 @@
 __all__ = ["DaemonInstance", "create_instance"]
 
 _logger = logging.getLogger(__name__)
-PEER_LIVE_ROUNDS = 2 * QUIET_ROUNDS + 2
+PEER_TIMEOUT_ROUNDS = 2 * KEEPALIVE_ROUNDS + 2
 LOAD_INTERVAL_S = 0.1
 NOT_READY_RETRY_S = 1.0
 DRAINING_RETRY_S = 1.0
 BUSY_RETRY_S = 1.0
-FLUSH_S = 2.0
+FLUSH_TIMEOUT_S = 2.0
 HANDLER_SHUTDOWN_S = 1.0
 LINGER_S = 0.2
 
 
 class DaemonInstance:
-    """Own every task of one instance; ``start`` and ``close`` them in order."""
+    """All tasks of one instance, started and closed in order."""
 
     def __init__(self, settings: DaemonSettings):
         self._settings = settings
@@ -58,14 +58,14 @@
         self._platform = create_platform(settings.platform_url, settings.instance)
         self._upstream = create_upstream()
         self._keeper = StateKeeper(limits.max_tail_entries)
-        self._table = PeerTable(timing.gossip_s * PEER_LIVE_ROUNDS)
-        self._lists = ListPoller(self._platform, timing.list_poll_s)
+        self._table = PeerTable(timing.gossip_s * PEER_TIMEOUT_ROUNDS)
+        self._list_poller = ListPoller(self._platform, timing.list_poll_s)
         self._peers = PeerLink(
             f"tcp://{listen.address}:{listen.peer_port}",
             settings.hall,
             self._table,
             self._keeper,
-            self._lists,
+            self._list_poller,
             self._make_gossip,
             lambda job_id: self._owner.explain(job_id),
             timing.gossip_s,
@@ -78,7 +78,7 @@
             self._platform, incarnation, self._metrics, self._get_append_rate
         )
         self._snapshots = SnapshotWriter(
-            self._platform, self._keeper, timing.snapshot_s, self._is_first_instance
+            self._platform, self._keeper, timing.snapshot_s, self._is_snapshot_writer
         )
         self._owner = HallOwner(
             incarnation,
@@ -105,36 +105,36 @@
             limits.max_answer_bytes,
             self._check_serving,
         )
-        self._operators = OperatorApi(
+        self._operator_api = OperatorApi(
             self._keeper,
             self._writer,
-            self._lists,
+            self._list_poller,
             self._explain,
             self._make_status,
             self._check_serving,
         )
-        self._lists.on_change = self._take_list
+        self._list_poller.on_change = self._take_list
         self._runner: web.AppRunner | None = None
         self._site: web.TCPSite | None = None
-        self._load_task: asyncio.Task | None = None
+        self._update_task: asyncio.Task | None = None
         self._ready = False
-        self._leaving = False
+        self._draining = False
         self._refusing = False
 
     async def start(self) -> None:
-        """Start every task and listen."""
+        """Start every task and the HTTP server."""
         settings = self._settings
         await self._platform.start()
         await self._upstream.start()
         await self._peers.start()
         self._peers.set_peers(dict.fromkeys(settings.seed_peers, settings.hall))
-        await self._lists.start()
+        await self._list_poller.start()
         await self._follower.start()
         await self._writer.start()
         await self._snapshots.start()
         await self._owner.start()
         await self._entry.start()
-        self._load_task = asyncio.create_task(self._share_loads())
+        self._update_task = asyncio.create_task(self._update_readiness_and_loads())
         await self._listen()
         listen = self._settings.listen
         log_event(
@@ -146,27 +146,31 @@
         )
 
     async def close(self) -> None:
-        """Drain: tell the balancer, finish what is under way, then stop."""
+        """Drain and stop.
+
+        The readiness check fails first, so that the balancer stops sending requests;
+        then requests in flight are finished.
+        """
         timing = self._settings.timing
-        self._leaving = True
+        self._draining = True
         log_event(_logger, "draining", in_flight=self._entry.in_flight)
         await asyncio.sleep(timing.drain_notice_s)
         self._refusing = True
         finished = await self._entry.drain(timing.drain_s)
-        await self._writer.flush(FLUSH_S)
+        await self._writer.flush(FLUSH_TIMEOUT_S)
         await self._site.stop()
-        # Requests on connections that were accepted last are still answered.
+        # Requests on the last accepted connections may only arrive now.
         await asyncio.sleep(LINGER_S)
         await self._entry.drain(timing.drain_s)
         await self._runner.cleanup()
-        await cancel_tasks([self._load_task])
+        await cancel_tasks([self._update_task])
         for task in (
             self._entry,
             self._owner,
             self._snapshots,
             self._writer,
             self._follower,
-            self._lists,
+            self._list_poller,
             self._peers,
             self._upstream,
             self._platform,
@@ -177,7 +181,7 @@
     async def _listen(self) -> None:
         limits, listen = self._settings.limits, self._settings.listen
         app = web.Application(client_max_size=limits.max_body_bytes)
-        app.add_routes(self._operators.get_routes())
+        app.add_routes(self._operator_api.get_routes())
         app.add_routes(
             [
                 web.post("/v1/services/{service}/{path:.*}", self._entry.handle),
@@ -204,7 +208,7 @@
         )
         await self._site.start()
 
-    # Decisions that need what several tasks know.
+    # Decisions that combine the state of several tasks.
 
     def _check_serving(self) -> Problem | None:
         if self._refusing:
@@ -220,20 +224,23 @@
             self._settings.instance,
             self._settings.hall,
             self._ready,
-            self._leaving,
-            self._get_live(),
+            self._draining,
+            self._get_live_peers(),
         )
 
-    def _is_first_instance(self) -> bool:
-        names = [gossip.instance for gossip in self._get_live() if gossip.ready]
-        me = self._settings.instance
-        return self._ready and order_instances("snapshots", [*names, me])[0] == me
+    def _is_snapshot_writer(self) -> bool:
+        names = [gossip.instance for gossip in self._get_live_peers() if gossip.ready]
+        own_name = self._settings.instance
+        return (
+            self._ready
+            and order_instances("snapshots", [*names, own_name])[0] == own_name
+        )
 
     def _get_append_rate(self) -> float:
-        entries = sum(i.kind == "entry" for i in self._lists.listed.instances)
+        entries = sum(i.kind == "entry" for i in self._list_poller.listed.instances)
         return self._settings.limits.append_budget_per_s / max(1, entries)
 
-    def _get_live(self) -> list[Gossip]:
+    def _get_live_peers(self) -> list[Gossip]:
         return self._table.get_live(asyncio.get_running_loop().time())
 
     async def _explain(self, hall: str, job_id: str) -> str:
@@ -241,7 +248,7 @@
             return ""
         return self._owner.explain(job_id) or await self._peers.ask_owner(hall, job_id)
 
-    # What goes to and comes from the peers.
+    # Exchange with peers.
 
     def _make_gossip(self) -> Gossip:
         state, listen = self._keeper.state, self._settings.listen
@@ -252,11 +259,11 @@
             next_offset=state.next_offset,
             revision=state.revision,
             ready=self._ready,
-            draining=self._leaving,
+            draining=self._draining,
             owner_epoch=self._owner.epoch,
             in_flight=self._slots.get_in_flight(),
             ceilings=self._owner.get_ceilings(),
-            list_version=self._lists.listed.version,
+            list_version=self._list_poller.listed.version,
         )
 
     def _take_list(self, listed: InstanceList) -> None:
@@ -270,10 +277,10 @@
         self._slots.take_list(listed, asyncio.get_running_loop().time())
         self._owner.take_list(listed)
 
-    async def _share_loads(self) -> None:
+    async def _update_readiness_and_loads(self) -> None:
         while True:
             await asyncio.sleep(LOAD_INTERVAL_S)
-            live = self._get_live()
+            live = self._get_live_peers()
             state = self._keeper.state
             if not self._ready:
                 self._ready = decide_ready(
@@ -291,7 +298,7 @@
                 if gossip.hall == hall and gossip.owner_epoch:
                     ceilings = gossip.ceilings
             remote = self._table.count_in_flight(hall, now_s)
-            self._slots.take_loads(remote, ceilings, now_s)
+            self._slots.set_loads(remote, ceilings, now_s)
 
     # Health, metrics and status.
 
@@ -299,7 +306,7 @@
         return web.Response(text="alive\n")
 
     async def _get_readiness(self, _: web.Request) -> web.Response:
-        if self._ready and not self._leaving:
+        if self._ready and not self._draining:
             return web.Response(text="ready\n")
         return web.Response(status=503, text="not ready\n")
 
@@ -321,7 +328,7 @@
             "platform_up": self._follower.platform_up,
             "revision": state.revision,
             "ready": self._ready,
-            "peers": len(self._get_live()),
+            "peers": len(self._get_live_peers()),
         }.items():
             self._metrics.set(name, float(value))
         body, headers = self._metrics.render(request.headers.get("Accept", ""))
@@ -342,22 +349,22 @@
             state.revision,
             state.next_offset,
             [
-                _view_hall(hall, heard, state.revision, now_s)
-                for hall, heard in sorted(halls.items())
+                _view_hall(hall, gossips, state.revision, now_s)
+                for hall, gossips in sorted(halls.items())
             ],
         )
 
 
 def create_instance(settings: DaemonSettings) -> DaemonInstance:
-    """Return an instance for checked settings; start it before use."""
+    """Return an instance for validated settings; start it before use."""
     return DaemonInstance(settings)
 
 
-def _view_hall(hall, heard, revision, now_s) -> HallView:
-    newest_s = max(at_s for _, at_s in heard)
-    # An instance that was replaced is not heard of any more and must not hold
-    # the hall back.
-    current = [g for g, at_s in heard if newest_s - at_s < 2.0]
+def _view_hall(hall, gossips, revision, now_s) -> HallView:
+    newest_s = max(at_s for _, at_s in gossips)
+    # Instances without recent gossip, such as replaced ones, must not lower the
+    # hall's revision.
+    current = [g for g, at_s in gossips if newest_s - at_s < 2.0]
     owner = max(current, key=lambda gossip: gossip.owner_epoch)
     lowest = min(gossip.revision for gossip in current)
     return HallView(
--- a/src/larkhoist/daemon/list_poller.py
+++ b/src/larkhoist/daemon/list_poller.py
@@ -16,7 +16,7 @@
 
 
 class ListPoller:
-    """Ask the platform for its list at intervals; an older one is never taken."""
+    """A task that polls the platform's list; it ignores lists that are not newer."""
 
     def __init__(self, platform: PlatformPort, interval_s: float):
         self._platform = platform
@@ -26,7 +26,7 @@
         self.on_change: Callable[[InstanceList], None] = lambda _: None
 
     async def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
@@ -34,7 +34,7 @@
         await cancel_tasks([self._task])
 
     def take(self, listed: InstanceList) -> None:
-        """Take a list over where it is newer than the one held."""
+        """Replace the current list if ``listed`` is newer."""
         if listed.version <= self.listed.version:
             return
         self.listed = listed
--- a/src/larkhoist/daemon/log_follower.py
+++ b/src/larkhoist/daemon/log_follower.py
@@ -1,4 +1,4 @@
-"""Follow the platform's log, or the peers while the platform is out of reach."""
+"""Follow the platform's log, or the peers while the platform is unreachable."""
 
 import asyncio
 import logging
@@ -24,7 +24,7 @@
 
 
 class LogFollower:
-    """Read the log into the keeper as one task."""
+    """A task that reads the log and folds its entries into the state."""
 
     def __init__(
         self,
@@ -40,15 +40,15 @@
         self._task: asyncio.Task | None = None
         self.reached_end = False
         self.platform_up = False
-        self._end = 0
+        self._log_end = 0
 
     @property
     def lag(self) -> int:
-        """Return how many records of the log are known of and not yet folded."""
-        return max(0, self._end - self._keeper.state.next_offset)
+        """Return the number of entries known to be on the log but not yet folded."""
+        return max(0, self._log_end - self._keeper.state.next_offset)
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the log."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
@@ -56,7 +56,10 @@
         await cancel_tasks([self._task])
 
     async def catch_up(self) -> bool:
-        """Read the log to its end now; return False where it is out of reach."""
+        """Read the log to its end now.
+
+        Return False if it cannot be read or was trimmed past the state.
+        """
         while True:
             next_offset = self._keeper.state.next_offset
             match await self._platform.read(MAIN_STREAM, next_offset, 0.0):
@@ -82,22 +85,23 @@
         result = await self._platform.read(MAIN_STREAM, next_offset, wait_s)
         match result:
             case Success(page):
-                self._set_up(True)
+                self._set_platform_up(True)
                 await self._take_page(page)
             case _:
-                self._set_up(False)
+                self._set_platform_up(False)
                 await self._catch_up_from_peers()
                 await asyncio.sleep(RETRY_S)
 
     async def _take_page(self, page: LogPage) -> None:
         state = self._keeper.state
-        self._end = page.end
+        self._log_end = page.end
         if page.oldest > state.next_offset:
-            await self._bridge_gap(page)
+            await self._recover_from_gap(page)
             return
         if page.end < state.next_offset:
-            # A peer may have folded more than this page held when it was made;
-            # a log that stays shorter has lost records, and nothing is undone.
+            # The state may hold entries from a peer that were appended after this
+            # page was read. If the log stays shorter, it has lost records; what was
+            # folded is not undone.
             log_event(
                 _logger,
                 "log-shorter-than-state",
@@ -110,7 +114,7 @@
         self._keeper.fold(page.entries)
         self.reached_end |= self._keeper.state.next_offset >= page.end
 
-    async def _bridge_gap(self, page: LogPage) -> None:
+    async def _recover_from_gap(self, page: LogPage) -> None:
         log_event(
             _logger,
             "log-trimmed-past-state",
@@ -138,7 +142,7 @@
                     if not page.entries:
                         break
                 case _:
-                    self._set_up(False)
+                    self._set_platform_up(False)
                     return
         newest = assembler.newest
         if newest is not None and self._keeper.adopt(newest):
@@ -152,7 +156,7 @@
             self._keeper.adopt_bytes(reply.state)
         self._keeper.fold(reply.entries)
 
-    def _set_up(self, up: bool) -> None:
+    def _set_platform_up(self, up: bool) -> None:
         if up != self.platform_up:
             log_event(_logger, "platform-up" if up else "platform-down")
         self.platform_up = up
--- a/src/larkhoist/daemon/log_writer.py
+++ b/src/larkhoist/daemon/log_writer.py
@@ -1,4 +1,4 @@
-"""Append records to the platform's log in batches, within the budget."""
+"""Append records to the platform's log in batches, within a rate limit."""
 
 import asyncio
 import logging
@@ -20,14 +20,14 @@
 __all__ = ["LogWriter"]
 
 _logger = logging.getLogger(__name__)
-BURST = 4.0
+APPEND_BURST = 4.0
 FIRST_BACKOFF_S = 0.1
 LONGEST_BACKOFF_S = 1.0
 RETRY_AFTER_S = 2.0
 
 
 class LogWriter:
-    """Own the queue of records of this instance as one task."""
+    """A task that appends the queued records of this instance."""
 
     def __init__(
         self,
@@ -41,31 +41,37 @@
         self._metrics = metrics
         self._get_rate = get_rate
         self._futures: deque[asyncio.Future] = deque()
-        self._under_way: list[asyncio.Future] = []
+        self._in_flight_futures: list[asyncio.Future] = []
         self._added = asyncio.Event()
         self._task: asyncio.Task | None = None
         self.failing = False
 
     async def start(self) -> None:
-        """Begin to append."""
+        """Start appending."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop appending; what waits is lost, and its callers are told."""
+        """Stop appending.
+
+        Records that still wait are lost; ``commit`` reports it at its time-out.
+        """
         await cancel_tasks([self._task])
 
     async def flush(self, timeout_s: float) -> None:
-        """Wait until nothing waits any more, or for the time-out."""
-        pending = [*self._under_way, *self._futures]
+        """Wait until the records queued so far are on the log, or for the time-out."""
+        pending = [*self._in_flight_futures, *self._futures]
         if pending:
             await asyncio.wait(pending, timeout=timeout_s)
 
     def count_waiting(self) -> int:
-        """Return how many records wait."""
-        return len(self._futures) + len(self._under_way)
+        """Return the number of records that are queued or being appended."""
+        return len(self._futures) + len(self._in_flight_futures)
 
     def add(self, record: Record) -> asyncio.Future:
-        """Queue a record; the future's result is its offset."""
+        """Queue a record and return a future of its offset.
+
+        The future is already cancelled if the queue is full.
+        """
         future = asyncio.get_running_loop().create_future()
         if not self._queue.add(record):
             future.cancel()
@@ -77,8 +83,8 @@
     async def commit(self, record: Record, timeout_s: float) -> Result[int, Problem]:
         """Append a record and return its offset.
 
-        ``LOG_UNAVAILABLE`` means that it is not on the log and never will be;
-        ``APPEND_UNKNOWN`` that it may be or may still come.
+        ``LOG_UNAVAILABLE`` means that the record is not on the log and never will
+        be; ``APPEND_UNKNOWN`` means that it may be on the log, now or later.
         """
         future = self.add(record)
         try:
@@ -104,7 +110,7 @@
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         rate = self._get_rate()
-        budget = AppendBudget(rate, BURST, BURST, loop.time())
+        budget = AppendBudget(rate, APPEND_BURST, APPEND_BURST, loop.time())
         backoff_s = FIRST_BACKOFF_S
         while True:
             await self._added.wait()
@@ -117,32 +123,32 @@
                 backoff_s = min(backoff_s * 2, LONGEST_BACKOFF_S)
 
     async def _append_batch(self, budget: AppendBudget) -> bool:
-        fresh = self._queue.under_way is None
+        is_new_batch = self._queue.under_way is None
         batch = self._queue.take_batch(int(time.time() * 1000))
         if batch is None:
             self._added.clear()
             return True
-        if fresh:
+        if is_new_batch:
             count = len(batch.records)
-            self._under_way = [self._futures.popleft() for _ in range(count)]
+            self._in_flight_futures = [self._futures.popleft() for _ in range(count)]
         budget.spend(asyncio.get_running_loop().time())
         result = await self._platform.append(MAIN_STREAM, encode_batch(batch))
         match result:
             case Success(offset):
-                self._settle(offset)
+                self._resolve_batch(offset)
                 return True
             case Failure(problem):
                 self._note_failure(problem)
                 return False
 
-    def _settle(self, offset: int) -> None:
+    def _resolve_batch(self, offset: int) -> None:
         self.failing = False
         self._metrics.count_append("kept")
         self._queue.settle()
-        for future in self._under_way:
+        for future in self._in_flight_futures:
             if not future.done():
                 future.set_result(offset)
-        self._under_way = []
+        self._in_flight_futures = []
 
     def _note_failure(self, problem: Problem) -> None:
         if not self.failing:
--- a/src/larkhoist/daemon/logs.py
+++ b/src/larkhoist/daemon/logs.py
@@ -13,16 +13,16 @@
 __all__ = ["BoundedHandler", "KeyValueFormatter", "configure_logs", "log_event"]
 
 MAX_QUEUED_LINES = 2000
-"""How many lines may wait for a reader that is slow; some 400 KB."""
+"""Lines that may wait while standard output is read slowly; about 400 KB."""
 MAX_LINES_PER_S = 400
-"""How many lines a process writes in one second; more are counted instead."""
+"""Lines that a process writes in one second; further lines are only counted."""
 MAX_LINES_OF_EVENT_PER_S = 200
-"""How many of them are of one event, so that no storm of one line hides the others:
-refused starts came up to 300 a second beyond the bound of all lines."""
+"""Lines of a single event in one second, so that a frequent event does not suppress
+the others: refused starts exceeded the limit of all lines by up to 300 a second."""
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Format a record as key=value pairs; values with spaces are quoted."""
+    """A formatter of key=value pairs; values with spaces are quoted."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of one record."""
@@ -46,48 +46,48 @@
 
 
 class BoundedHandler(QueueHandler):
-    """Hand lines to a writing thread, bounded in rate and number.
+    """A handler that passes lines to a writer thread, limited in rate and number.
 
-    What is over a bound is dropped and counted; the count is written with the
-    next line that passes.
+    Lines over a limit are dropped and counted; the next line that is queued carries
+    the count.
     """
 
     def __init__(self, lines: queue.Queue):
         super().__init__(lines)
         self._second = 0
         self._written = 0
-        self._written_of: Counter[str] = Counter()
+        self._written_by_event: Counter[str] = Counter()
         self._dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line unless a bound of this second is reached."""
-        if self._take_place(record.getMessage()):
+        """Queue a line unless a limit of the current second is reached."""
+        if self._count_line(record.getMessage()):
             super().emit(record)
         else:
             self._dropped += 1
 
-    def _take_place(self, event: str) -> bool:
+    def _count_line(self, event: str) -> bool:
         second = int(time.monotonic())
         if second != self._second:
             self._second, self._written = second, 0
-            self._written_of.clear()
+            self._written_by_event.clear()
         if self._written >= MAX_LINES_PER_S:
             return False
-        if self._written_of[event] >= MAX_LINES_OF_EVENT_PER_S:
+        if self._written_by_event[event] >= MAX_LINES_OF_EVENT_PER_S:
             return False
         self._written += 1
-        self._written_of[event] += 1
+        self._written_by_event[event] += 1
         return True
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Format here, so that later changes to the fields do not show."""
+        """Format the record now, so that later changes to its fields have no effect."""
         record.msg = self.format(record)
         record.args = None
         record.exc_info = None
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue a line, or count it as dropped."""
+        """Queue a line, or count it as dropped if the queue is full."""
         if self._dropped:
             record.msg += f" lines_dropped_before={self._dropped}"
         try:
--- a/src/larkhoist/daemon/main.py
+++ b/src/larkhoist/daemon/main.py
@@ -1,4 +1,4 @@
-"""Run ``larkhoistd``, the one daemon of every entry instance."""
+"""Run ``larkhoistd``, the daemon of an entry instance."""
 
 import sys
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
         cappa.Arg(
             long=True,
             default=cappa.Env("LARKHOIST_ADDRESS", default=None),
-            help="IP number to listen on, before the settings",
+            help="IP address to listen on; overrides the settings",
         ),
     ] = None
     hall: Annotated[
@@ -41,13 +41,13 @@
         cappa.Arg(
             long=True,
             default=cappa.Env("LARKHOIST_HALL", default=None),
-            help="data hall, before the settings",
+            help="data hall; overrides the settings",
         ),
     ] = None
 
 
 class InstanceService(aiomisc.Service):
-    """Run an instance inside an aiomisc entry point."""
+    """An instance run as a service of an aiomisc entry point."""
 
     instance: DaemonInstance
 
@@ -61,7 +61,7 @@
 
 
 def main() -> None:
-    """Read the settings, then run until a signal asks to stop."""
+    """Read the settings, then run until a signal stops the process."""
     arguments = cappa.parse(DaemonArguments)
     settings = _load_settings(arguments)
     if arguments.check:
@@ -82,13 +82,13 @@
     try:
         text = arguments.settings.read_text()
     except OSError as error:
-        _refuse(arguments, [str(error)])
+        _exit_with_problems(arguments, [str(error)])
     loaded = load_model(DaemonSettings, text).bind(
         lambda settings: check_model(DaemonSettings, _override(arguments, settings))
     )
     settings = loaded.value_or(None)
     if settings is None:
-        _refuse(arguments, loaded.failure())
+        _exit_with_problems(arguments, loaded.failure())
     return settings
 
 
@@ -101,7 +101,9 @@
     return data
 
 
-def _refuse(arguments: DaemonArguments, problems: list[Problem] | list[str]) -> None:
+def _exit_with_problems(
+    arguments: DaemonArguments, problems: list[Problem] | list[str]
+) -> None:
     for problem in problems:
         print(f"{arguments.settings}: {problem}", file=sys.stderr)
     sys.exit(EXIT_BAD_SETTINGS)
--- a/src/larkhoist/daemon/metrics.py
+++ b/src/larkhoist/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Count what the instance does, for Prometheus."""
+"""Collect the Prometheus metrics of an instance."""
 
 import resource
 
@@ -11,7 +11,7 @@
 
 
 class Metrics:
-    """Hold the metrics of one instance; each has a method that says its meaning."""
+    """The metrics of one instance; gauges are set by name."""
 
     def __init__(self):
         self.registry = Registry()
@@ -87,7 +87,10 @@
         self._gauges[name].set({}, value)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return the body and the headers of the metrics page."""
+        """Return the body and the headers of the metrics page.
+
+        ``accept`` is the value of the request's ``Accept`` header.
+        """
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.set("control_cpu_seconds", usage.ru_utime + usage.ru_stime)
         self.set("control_peak_bytes", usage.ru_maxrss * 1024)
@@ -98,5 +101,5 @@
 
 
 def create_metrics() -> Metrics:
-    """Return metrics in a registry of their own."""
+    """Return metrics in a new registry."""
     return Metrics()
--- a/src/larkhoist/daemon/operator_api.py
+++ b/src/larkhoist/daemon/operator_api.py
@@ -1,4 +1,4 @@
-"""Serve operators: plans, confirms, jobs and what there is."""
+"""Serve the operator API: plans, confirmations, jobs and status."""
 
 import uuid
 from collections.abc import Awaitable, Callable
@@ -44,20 +44,20 @@
 
 
 class OperatorApi:
-    """Answer operators from the folded state; changes go through the log."""
+    """The operator API: reads use the folded state, changes go through the log."""
 
     def __init__(
         self,
         keeper: StateKeeper,
         writer: LogWriter,
-        lists: ListPoller,
+        list_poller: ListPoller,
         explain: Callable[[str, str], Awaitable[str]],
         make_status: Callable[[], StatusView],
         check_serving: Callable[[], Problem | None],
     ):
         self._keeper = keeper
         self._writer = writer
-        self._lists = lists
+        self._list_poller = list_poller
         self._explain = explain
         self._make_status = make_status
         self._check_serving = check_serving
@@ -78,7 +78,7 @@
         ]
 
     async def plan(self, request: web.Request) -> web.Response:
-        """Check an intent and keep the plan for it; nothing else changes."""
+        """Check an intent and store a plan for it, without putting it into force."""
         problem = self._check_serving()
         if problem is not None:
             return make_problem_response(problem)
@@ -88,7 +88,7 @@
             return make_problem_response(*loaded.failure())
         state = self._keeper.state
         changes = make_changes(intent)
-        problems = check_plan(state, changes, self._make_halls())
+        problems = check_plan(state, changes, self._make_hall_indexes())
         if problems:
             return make_problem_response(*problems)
         plan = PlanProposed(
@@ -101,7 +101,7 @@
         return make_json_response(PlanView(plan.plan_id, plan.base_revision, lines))
 
     async def confirm(self, request: web.Request) -> web.Response:
-        """Put a plan into force, unless another change came first."""
+        """Put a plan into force unless a conflicting change came first."""
         problem = self._check_serving()
         if problem is not None:
             return make_problem_response(problem)
@@ -126,7 +126,7 @@
         )
 
     async def status(self, _: web.Request) -> web.Response:
-        """Show halls, owners and the revision in force in each."""
+        """Show each hall with its owner and the revision in force."""
         return make_json_response(self._make_status(), Code.IN_FORCE)
 
     async def list_jobs(self, _: web.Request) -> web.Response:
@@ -135,7 +135,11 @@
         return make_json_response([_view_job(job) for job in jobs])
 
     async def submit_job(self, request: web.Request) -> web.Response:
-        """Take a job; a second one with the same name changes nothing."""
+        """Submit a job.
+
+        Submitting the same job again changes nothing; another job under a name in
+        use is refused.
+        """
         problem = self._check_serving()
         if problem is not None:
             return make_problem_response(problem)
@@ -144,8 +148,8 @@
         if model is None:
             return make_problem_response(*loaded.failure())
         spec = make_job_spec(model)
-        held = self._keeper.state.jobs.get(spec.job_id)
-        if held is not None and held.spec != spec:
+        existing = self._keeper.state.jobs.get(spec.job_id)
+        if existing is not None and existing.spec != spec:
             return make_problem_response(
                 Problem(
                     Code.KEY_REUSED,
@@ -154,7 +158,9 @@
                     remedy="use a new name for another job",
                 )
             )
-        problems = check_job(spec, self._keeper.state.customers, self._make_halls())
+        problems = check_job(
+            spec, self._keeper.state.customers, self._make_hall_indexes()
+        )
         if problems:
             return make_problem_response(*problems)
         problem = await self._commit(JobPut(spec))
@@ -167,17 +173,17 @@
         job_id = request.match_info["job_id"]
         job = self._keeper.state.jobs.get(job_id)
         if job is None:
-            return _make_unknown("job", job_id)
+            return _make_not_found("job", job_id)
         explanation = ""
         if job.state is not JobState.ENDED:
             explanation = await self._explain(job.hall, job_id)
         return make_json_response(_view_job(job, explanation))
 
     async def cancel_job(self, request: web.Request) -> web.Response:
-        """End a job."""
+        """Cancel a job."""
         job_id = request.match_info["job_id"]
         if job_id not in self._keeper.state.jobs:
-            return _make_unknown("job", job_id)
+            return _make_not_found("job", job_id)
         problem = await self._commit(JobCancelled(job_id))
         if problem is not None:
             return make_problem_response(problem)
@@ -211,13 +217,13 @@
         return make_json_response(views)
 
     async def list_instances(self, request: web.Request) -> web.Response:
-        """List the workers or the upstreams as the platform shows them."""
+        """List the workers or upstreams in the platform's list."""
         kind = request.match_info["kind"].removesuffix("s")
         views = [
             InstanceView(
                 i.name, i.hall, i.rack, i.address, i.accelerators or i.slots, i.leaving
             )
-            for i in self._lists.listed.instances
+            for i in self._list_poller.listed.instances
             if i.kind == kind
         ]
         views.sort(key=lambda view: (view.hall, view.name))
@@ -232,8 +238,8 @@
             return Problem(Code.APPEND_UNKNOWN, retry_after_s=1.0)
         return None
 
-    def _make_halls(self):
-        return make_hall_indexes(self._lists.listed.instances)
+    def _make_hall_indexes(self):
+        return make_hall_indexes(self._list_poller.listed.instances)
 
 
 def _view_job(job: JobEntry, explanation: str = "") -> JobView:
@@ -256,5 +262,5 @@
     return request.headers.get(AUTHOR_HEADER, "operator")[:64]
 
 
-def _make_unknown(field: str, name: str) -> web.Response:
+def _make_not_found(field: str, name: str) -> web.Response:
     return make_problem_response(Problem(Code.NOT_FOUND, field=field, value=name))
--- a/src/larkhoist/daemon/peer_link.py
+++ b/src/larkhoist/daemon/peer_link.py
@@ -26,23 +26,23 @@
     encode_message,
 )
 
-__all__ = ["PeerLink", "QUIET_ROUNDS"]
+__all__ = ["PeerLink", "KEEPALIVE_ROUNDS"]
 
 _logger = logging.getLogger(__name__)
-ANSWER_TIMEOUT_S = 0.5
-SERVERS = 4
+REPLY_TIMEOUT_S = 0.5
+SERVER_TASKS = 4
 TAIL_LIMIT = 500
-MAX_LEARNED = 64
-QUIET_ROUNDS = 4
+MAX_PEERS_FOR_DISCOVERY = 64
+KEEPALIVE_ROUNDS = 4
 RECEIVE_MAX_BYTES = 256 * 1024 * 1024
 REMOTE_PEERS_PER_ROUND = 2
 
 
 class PeerLink:
-    """Own the sockets to and from the peers.
+    """Sockets to and from the peers, and the periodic gossip rounds.
 
-    Each round goes to every peer of the hall and to a few of the other halls, so
-    that the cost of an instance does not grow with the number of halls.
+    Each round contacts every peer of the hall and a few peers of other halls, so
+    that the cost per instance does not grow with the number of halls.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         hall: str,
         table: PeerTable,
         keeper: StateKeeper,
-        lists: ListPoller,
+        list_poller: ListPoller,
         make_gossip: Callable[[], Gossip],
         explain: Callable[[str], str],
         interval_s: float,
@@ -60,35 +60,35 @@
         self._hall = hall
         self._table = table
         self._keeper = keeper
-        self._lists = lists
+        self._list_poller = list_poller
         self._make_gossip = make_gossip
         self._explain = explain
         self._interval_s = interval_s
         self._server: pynng.Rep0 | None = None
         self._sockets: dict[str, pynng.Req0] = {}
         self._halls: dict[str, str] = {}
-        self._busy: set[str] = set()
+        self._pending_addresses: set[str] = set()
         self._tasks: list[asyncio.Task] = []
-        self._calls: set[asyncio.Task] = set()
+        self._gossip_tasks: set[asyncio.Task] = set()
         self._random = random.Random()
 
     async def start(self) -> None:
-        """Listen and begin the rounds."""
+        """Listen and start the gossip rounds."""
         self._server = pynng.Rep0(recv_max_size=RECEIVE_MAX_BYTES)
         self._server.listen(self._listen_url)
-        self._tasks = [asyncio.create_task(self._serve()) for _ in range(SERVERS)]
+        self._tasks = [asyncio.create_task(self._serve()) for _ in range(SERVER_TASKS)]
         self._tasks.append(asyncio.create_task(self._run_rounds()))
 
     async def close(self) -> None:
         """Stop the rounds and close every socket."""
-        await cancel_tasks([*self._tasks, *self._calls])
+        await cancel_tasks([*self._tasks, *self._gossip_tasks])
         for socket in self._sockets.values():
             socket.close()
         if self._server is not None:
             self._server.close()
 
     def set_peers(self, peers: dict[str, str]) -> None:
-        """Take over the peers: hall by address, an IP number with a port."""
+        """Replace the peers by ``peers``, which maps each ``IP:port`` to its hall."""
         for address in self._sockets.keys() - peers.keys():
             self._sockets.pop(address).close()
         for address in peers.keys() - self._sockets.keys():
@@ -101,7 +101,7 @@
         self._sockets[address] = socket
 
     async def fetch_tail(self, from_offset: int) -> TailReply | None:
-        """Return what a peer with a newer state has, or None."""
+        """Return newer log entries or a newer state from a peer, or None."""
         for address in list(self._sockets):
             answer = await self._ask(address, TailRequest(from_offset))
             match answer:
@@ -110,7 +110,7 @@
         return None
 
     async def ask_owner(self, hall: str, job_id: str) -> str:
-        """Return what the owner of a hall says of a job, empty where none answers."""
+        """Return the hall owner's explanation of a job, empty if none answers."""
         owner = self._table.find_owner(hall, asyncio.get_running_loop().time())
         if owner is None:
             return ""
@@ -121,46 +121,46 @@
                 return ""
 
     async def _run_rounds(self) -> None:
-        told: Gossip | None = None
-        quiet = 0
+        last_gossip: Gossip | None = None
+        unchanged_rounds = 0
         while True:
             gossip = self._make_gossip()
-            quiet = quiet + 1 if gossip == told else 0
-            told = gossip
-            # With nothing new to tell, a round now and then shows that we live.
-            if quiet % QUIET_ROUNDS == 0:
+            unchanged_rounds = unchanged_rounds + 1 if gossip == last_gossip else 0
+            last_gossip = gossip
+            # While the gossip is unchanged, an occasional round serves as keepalive.
+            if unchanged_rounds % KEEPALIVE_ROUNDS == 0:
                 self._begin_round()
             await asyncio.sleep(self._interval_s)
 
     def _begin_round(self) -> None:
         for address in self._choose_addresses():
-            if address not in self._busy:
+            if address not in self._pending_addresses:
                 call = asyncio.create_task(self._gossip_with(address))
-                self._calls.add(call)
-                call.add_done_callback(self._calls.discard)
+                self._gossip_tasks.add(call)
+                call.add_done_callback(self._gossip_tasks.discard)
 
     def _choose_addresses(self) -> list[str]:
-        near = [a for a, hall in self._halls.items() if hall == self._hall]
-        far = [a for a, hall in self._halls.items() if hall != self._hall]
-        count = min(len(far), REMOTE_PEERS_PER_ROUND)
-        return near + self._random.sample(far, count)
+        same_hall = [a for a, hall in self._halls.items() if hall == self._hall]
+        other_halls = [a for a, hall in self._halls.items() if hall != self._hall]
+        count = min(len(other_halls), REMOTE_PEERS_PER_ROUND)
+        return same_hall + self._random.sample(other_halls, count)
 
     async def _gossip_with(self, address: str) -> None:
-        self._busy.add(address)
+        self._pending_addresses.add(address)
         try:
             answer = await self._ask(address, self._make_gossip())
             if isinstance(answer, Gossip):
-                self._take_gossip(answer)
+                self._handle_gossip(answer)
                 await self._fetch_list(address, answer.list_version)
         finally:
-            self._busy.discard(address)
+            self._pending_addresses.discard(address)
 
     async def _fetch_list(self, address: str, version: int) -> None:
-        if version <= self._lists.listed.version:
+        if version <= self._list_poller.listed.version:
             return
         match await self._ask(address, ListRequest()):
             case ListReply(listed):
-                self._lists.take(listed)
+                self._list_poller.take(listed)
 
     async def _ask(self, address: str, message: PeerMessage) -> PeerMessage | None:
         socket = self._sockets.get(address)
@@ -169,7 +169,7 @@
         try:
             with socket.new_context() as context:
                 exchange = self._exchange(context, encode_message(message))
-                return await asyncio.wait_for(exchange, ANSWER_TIMEOUT_S)
+                return await asyncio.wait_for(exchange, REPLY_TIMEOUT_S)
         except (pynng.NNGException, TimeoutError, msgspec.DecodeError):
             return None
 
@@ -194,14 +194,14 @@
             return encode_message(TailReply(()))
         match message:
             case Gossip():
-                self._take_gossip(message)
+                self._handle_gossip(message)
                 return encode_message(self._make_gossip())
             case TailRequest(from_offset):
                 return encode_message(self._make_tail(from_offset))
             case ExplainRequest(job_id):
                 return encode_message(ExplainReply(self._explain(job_id)))
             case ListRequest():
-                return encode_message(ListReply(self._lists.listed))
+                return encode_message(ListReply(self._list_poller.listed))
             case _:
                 return encode_message(TailReply(()))
 
@@ -213,10 +213,13 @@
             return TailReply((), self._keeper.encode_state())
         return TailReply(entries)
 
-    def _take_gossip(self, gossip: Gossip) -> None:
+    def _handle_gossip(self, gossip: Gossip) -> None:
         self._table.note(gossip, asyncio.get_running_loop().time())
-        # A fresh instance that cannot reach the platform has no list; whoever
-        # speaks to it is a peer.
-        if gossip.address not in self._sockets and len(self._sockets) < MAX_LEARNED:
+        # A new instance that cannot reach the platform has no list, so it learns
+        # its peers from the gossip that it receives.
+        if (
+            gossip.address not in self._sockets
+            and len(self._sockets) < MAX_PEERS_FOR_DISCOVERY
+        ):
             self._dial(gossip.address)
             self._halls[gossip.address] = gossip.hall
--- a/src/larkhoist/daemon/replies.py
+++ b/src/larkhoist/daemon/replies.py
@@ -1,4 +1,4 @@
-"""Turn problems and tables into HTTP responses."""
+"""Turn problems and views into HTTP responses."""
 
 import math
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class ProblemBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold one problem as callers and operators receive it."""
+    """A problem in the form sent to callers and operators."""
 
     code: int
     name: str
@@ -41,7 +41,7 @@
 
 
 def make_json_response(data: Any, code: Code = Code.ACCEPTED) -> web.Response:
-    """Return ``data`` as JSON."""
+    """Return a response with ``data`` as JSON."""
     response = web.Response(
         status=get_http_status(code),
         body=msgspec.json.encode(data),
--- a/src/larkhoist/daemon/slot_table.py
+++ b/src/larkhoist/daemon/slot_table.py
@@ -1,4 +1,4 @@
-"""Give upstreams' slots to requests and let the others wait."""
+"""Assign upstreams' slots to requests and queue the other requests."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class SlotTable:
-    """Own the dispatchers of all services and the requests that wait in them."""
+    """The dispatchers of all services and the requests that wait in them."""
 
     def __init__(self, hall: str, policy: RequestPolicy):
         self._hall = hall
@@ -29,22 +29,22 @@
     # Membership and load.
 
     def take_list(self, listed: InstanceList, now_s: float) -> None:
-        """Take over the upstreams of this hall."""
-        near = {
+        """Replace the upstreams by those of this hall in the list."""
+        in_hall = {
             i.name: i
             for i in listed.instances
             if i.kind == "upstream" and i.hall == self._hall
         }
         for dispatcher in self._dispatchers.values():
-            for name in set(dispatcher.upstreams.names()) - near.keys():
+            for name in set(dispatcher.upstreams.names()) - in_hall.keys():
                 dispatcher.upstreams.remove(name)
-        for upstream in near.values():
+        for upstream in in_hall.values():
             self._put_upstream(upstream, now_s)
 
-    def take_loads(
+    def set_loads(
         self, remote: dict[str, int], ceilings: dict[str, int], now_s: float
     ) -> None:
-        """Take over the peers' requests in flight and the hall's slot ceilings."""
+        """Set the peers' requests in flight and the hall's slot ceilings."""
         for dispatcher in self._dispatchers.values():
             for name in dispatcher.upstreams.names():
                 dispatcher.upstreams.set_remote(name, remote.get(name, 0), now_s)
@@ -59,23 +59,23 @@
         return counts
 
     def get_address(self, upstream: str) -> str:
-        """Return where an upstream listens."""
+        """Return the address of an upstream."""
         return self._addresses[upstream]
 
     def count_waiting(self) -> int:
-        """Return how many requests wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return sum(len(d.queue) for d in self._dispatchers.values())
 
     def count_upstreams(self) -> int:
-        """Return how many upstreams there are."""
+        """Return the number of upstreams."""
         return sum(len(d.upstreams.names()) for d in self._dispatchers.values())
 
     def count_slots(self) -> int:
-        """Return the slots that requests may use."""
+        """Return the number of slots that requests may use."""
         return sum(d.upstreams.count_slots() for d in self._dispatchers.values())
 
     def count_ejected(self) -> int:
-        """Return how many upstreams are ejected."""
+        """Return the number of ejected upstreams."""
         return sum(d.upstreams.count_ejected() for d in self._dispatchers.values())
 
     # Slots.
@@ -83,7 +83,7 @@
     async def acquire(
         self, service: str, request: QueuedRequest, share: int, now_s: float
     ) -> SendTo | Refused:
-        """Return a slot for a request, or the refusal, as soon as it is decided."""
+        """Wait for the decision on a request and return a slot or the refusal."""
         dispatcher = self._get_dispatcher(service)
         dispatcher.retries.note_first()
         decision = dispatcher.offer(request, share, now_s)
@@ -91,21 +91,23 @@
             return await self._wait(dispatcher, request.request_id)
         return decision
 
-    def acquire_again(
+    def acquire_for_retry(
         self, service: str, tried: frozenset[str], now_s: float
     ) -> str | None:
-        """Return another upstream for a retry within the budget, or None."""
+        """Return another upstream if the retry budget allows it, or None."""
         return self._get_dispatcher(service).choose_again(tried, now_s)
 
-    def release(self, service: str, upstream: str, well: bool, now_s: float) -> None:
-        """Give a slot back; ``well`` tells whether the upstream answered."""
-        decisions = self._get_dispatcher(service).finish(upstream, well, now_s)
-        self._give_out(decisions)
+    def release(
+        self, service: str, upstream: str, succeeded: bool, now_s: float
+    ) -> None:
+        """Release a slot; ``succeeded`` is False if the upstream failed."""
+        decisions = self._get_dispatcher(service).finish(upstream, succeeded, now_s)
+        self._resolve_waiters(decisions)
 
     def pump(self, now_s: float) -> None:
-        """Refuse what is late and give out slots that got free meanwhile."""
+        """Refuse requests past their deadlines and assign freed slots."""
         for dispatcher in list(self._dispatchers.values()):
-            self._give_out(dispatcher.pump(now_s))
+            self._resolve_waiters(dispatcher.pump(now_s))
 
     async def _wait(self, dispatcher: Dispatcher, request_id: str) -> SendTo | Refused:
         loop = asyncio.get_running_loop()
@@ -118,12 +120,14 @@
                 decision = future.result()
                 if isinstance(decision, SendTo):
                     now_s = loop.time()
-                    self._give_out(dispatcher.finish(decision.upstream, True, now_s))
+                    self._resolve_waiters(
+                        dispatcher.finish(decision.upstream, True, now_s)
+                    )
             raise
         finally:
             self._waiting.pop(request_id, None)
 
-    def _give_out(self, decisions: list[SendTo | Refused]) -> None:
+    def _resolve_waiters(self, decisions: list[SendTo | Refused]) -> None:
         for decision in decisions:
             future = self._waiting.get(decision.request_id)
             if future is not None and not future.done():
--- a/src/larkhoist/daemon/snapshot_writer.py
+++ b/src/larkhoist/daemon/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Keep snapshots on the log, so that a fresh instance need not read it all."""
+"""Append snapshots, so that a new instance need not read the whole log."""
 
 import asyncio
 import logging
@@ -20,24 +20,24 @@
 
 
 class SnapshotWriter:
-    """Append a snapshot at intervals while this instance is the one to do so."""
+    """A task that appends snapshots while ``is_snapshot_writer`` returns true."""
 
     def __init__(
         self,
         platform: PlatformPort,
         keeper: StateKeeper,
         interval_s: float,
-        is_chosen: Callable[[], bool],
+        is_snapshot_writer: Callable[[], bool],
     ):
         self._platform = platform
         self._keeper = keeper
         self._interval_s = interval_s
-        self._is_chosen = is_chosen
+        self._is_snapshot_writer = is_snapshot_writer
         self._written_offset = 0
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to write snapshots."""
+        """Start writing snapshots."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
@@ -47,8 +47,8 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(self._interval_s)
-            fresh = self._keeper.state.next_offset > self._written_offset
-            if fresh and self._is_chosen():
+            has_new_records = self._keeper.state.next_offset > self._written_offset
+            if has_new_records and self._is_snapshot_writer():
                 await self._write()
 
     async def _write(self) -> None:
--- a/src/larkhoist/daemon/state_keeper.py
+++ b/src/larkhoist/daemon/state_keeper.py
@@ -1,4 +1,4 @@
-"""Own the folded state of one instance and the newest entries behind it."""
+"""Hold the folded state of one instance and its newest log entries."""
 
 import asyncio
 import logging
@@ -20,7 +20,7 @@
 
 
 class StateKeeper:
-    """Fold entries in their order and wake those who wait for an offset."""
+    """The folded state; wakes tasks that wait for an offset to be folded."""
 
     def __init__(self, max_tail: int):
         self.state = ClusterState()
@@ -28,7 +28,7 @@
         self._waiters: list[tuple[int, asyncio.Future]] = []
 
     def fold(self, entries: tuple[LogEntry, ...]) -> None:
-        """Fold entries; those folded before are passed over."""
+        """Fold entries, skipping those that were folded before."""
         for entry in entries:
             if entry.offset < self.state.next_offset:
                 continue
@@ -37,7 +37,7 @@
         self._wake()
 
     def adopt(self, state: ClusterState) -> bool:
-        """Take over a whole state where it is newer; an older one is refused."""
+        """Replace the state if ``state`` is newer; return whether it was."""
         if state.next_offset <= self.state.next_offset:
             return False
         self.state = state
@@ -46,7 +46,7 @@
         return True
 
     def get_tail(self, from_offset: int, limit: int) -> tuple[LogEntry, ...] | None:
-        """Return entries from an offset on, or None where they are not kept."""
+        """Return up to ``limit`` entries from an offset on, None if not kept."""
         if not self._tail or self._tail[0].offset > from_offset:
             return None
         first = from_offset - self._tail[0].offset
@@ -54,15 +54,15 @@
         return tuple(self._tail[index] for index in range(first, end))
 
     def encode_state(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the state encoded as MessagePack."""
         return _state_encoder.encode(self.state)
 
     def adopt_bytes(self, data: bytes) -> bool:
-        """Take over a whole state from its bytes where it is newer."""
+        """Decode a state and replace the current one if it is newer."""
         return self.adopt(_state_decoder.decode(data))
 
     async def wait_folded(self, offset: int, timeout_s: float) -> bool:
-        """Wait until ``offset`` is folded; return False at the time-out."""
+        """Wait until ``offset`` is folded; return False on time-out."""
         if offset < self.state.next_offset:
             return True
         future = asyncio.get_running_loop().create_future()
@@ -79,7 +79,7 @@
         try:
             batch = decode_batch(entry.data)
         except msgspec.DecodeError:
-            # What cannot be read changes nothing, on every instance alike.
+            # Every instance skips an unreadable entry, so their states stay equal.
             log_event(_logger, "record-unreadable", logging.ERROR, offset=entry.offset)
             if entry.offset > self.state.next_offset:
                 raise LogGapError(f"gap before offset {entry.offset}") from None
--- a/src/larkhoist/daemon/tracing.py
+++ b/src/larkhoist/daemon/tracing.py
@@ -1,4 +1,4 @@
-"""Make a span for each hop and pass the W3C trace context on."""
+"""Create spans and propagate the W3C trace context."""
 
 import logging
 from collections.abc import Sequence
@@ -24,7 +24,7 @@
 
 
 class _LogExporter(SpanExporter):
-    """Write each span as one log line."""
+    """An exporter that writes each span as one log line."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         for span in spans:
@@ -43,8 +43,8 @@
 
 
 def create_tracer(log_spans: bool) -> Tracer:
-    """Return a tracer; its spans go to the log where ``log_spans`` is set."""
-    # Spans that nobody reads are not recorded; their ids are still passed on.
+    """Return a tracer; its spans are logged if ``log_spans`` is true."""
+    # Spans that are not logged are not recorded; their ids are still propagated.
     provider = TracerProvider(sampler=ALWAYS_ON if log_spans else ALWAYS_OFF)
     if log_spans:
         provider.add_span_processor(SimpleSpanProcessor(_LogExporter()))
@@ -52,12 +52,12 @@
 
 
 def get_parent(trace_parent: str) -> Context:
-    """Return the context in a ``traceparent`` header; an empty one starts a trace."""
+    """Return the context of a ``traceparent`` header; an empty one starts a trace."""
     return _propagator.extract({"traceparent": trace_parent})
 
 
 def get_trace_parent(span: Span) -> str:
-    """Return the ``traceparent`` header that makes ``span`` the parent."""
+    """Return a ``traceparent`` header that names ``span`` as the parent."""
     carrier: dict[str, str] = {}
     _propagator.inject(carrier, trace.set_span_in_context(span))
     return carrier.get("traceparent", "")
--- a/src/larkhoist/daemon/views.py
+++ b/src/larkhoist/daemon/views.py
@@ -1,4 +1,4 @@
-"""Hold what the operators' interface returns, as data classes."""
+"""Define the structs that the operator API returns as JSON."""
 
 import msgspec
 
@@ -17,7 +17,7 @@
 
 
 class PlanView(msgspec.Struct, frozen=True):
-    """Show a plan that waits to be confirmed."""
+    """A plan that waits to be confirmed."""
 
     plan_id: str
     base_revision: int
@@ -25,7 +25,7 @@
 
 
 class ConfirmView(msgspec.Struct, frozen=True):
-    """Show what a confirm came to."""
+    """The result of confirming a plan."""
 
     plan_id: str
     code: int
@@ -35,9 +35,9 @@
 
 
 class HallView(msgspec.Struct, frozen=True):
-    """Show one data hall; ``revision`` is the lowest among its instances.
+    """A data hall; ``revision`` is the lowest among its instances.
 
-    ``silent_s`` is how long ago the hall was last heard of, in seconds.
+    ``silent_s`` is the time since the last gossip from the hall, in seconds.
     """
 
     hall: str
@@ -51,7 +51,7 @@
 
 
 class StatusView(msgspec.Struct, frozen=True):
-    """Show the whole system as one instance sees it."""
+    """The whole system as seen by one instance."""
 
     instance: str
     hall: str
@@ -63,7 +63,7 @@
 
 
 class JobView(msgspec.Struct, frozen=True):
-    """Show one job."""
+    """A job."""
 
     job_id: str
     customer: str
@@ -78,7 +78,7 @@
 
 
 class CustomerView(msgspec.Struct, frozen=True):
-    """Show one customer."""
+    """A customer."""
 
     name: str
     share: int
@@ -86,7 +86,7 @@
 
 
 class InstanceView(msgspec.Struct, frozen=True):
-    """Show one worker or upstream of the platform's list."""
+    """A worker or upstream of the platform's list."""
 
     name: str
     hall: str
@@ -97,7 +97,7 @@
 
 
 class ServiceView(msgspec.Struct, frozen=True):
-    """Show one service."""
+    """A service."""
 
     name: str
     timeout_ms: int
--- a/src/larkhoist/daemon/worker_link.py
+++ b/src/larkhoist/daemon/worker_link.py
@@ -1,4 +1,4 @@
-"""Own the conversation with one worker: leases and commands, in order."""
+"""Send lease requests and commands to one worker, in order."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAnswer:
-    """Hold a worker's answer to a lease request; None where none came.
+    """A worker's answer to a lease request; ``reply`` is None if none came.
 
-    ``epoch`` is that of the tenure in which the request left.
+    ``epoch`` is that of the tenure in which the request was sent.
     """
 
     worker: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandAnswer:
-    """Hold a worker's answer to commands; None where none came."""
+    """A worker's answer to commands; ``reply`` is None if none came."""
 
     worker: str
     epoch: int
@@ -44,28 +44,28 @@
 
 
 class WorkerLinkTask:
-    """Talk to one worker as one task, so that reports and commands keep order."""
+    """A task that makes all calls to one worker, so that they stay in order."""
 
     def __init__(
         self,
         name: str,
         worker: WorkerPort,
         tenure: Tenure,
-        post: Callable[[LeaseAnswer | CommandAnswer], None],
+        on_answer: Callable[[LeaseAnswer | CommandAnswer], None],
     ):
         self._name = name
         self._worker = worker
         self._tenure = tenure
-        self._post = post
+        self._on_answer = on_answer
         self._inbox: asyncio.Queue[TaskCommand] = asyncio.Queue()
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to renew the lease and to pass on commands."""
+        """Start renewing the lease and sending commands."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop renewing; the lease runs out by itself."""
+        """Stop renewing and let the lease expire."""
         await cancel_tasks([self._task])
 
     def send(self, command: TaskCommand) -> None:
@@ -75,9 +75,9 @@
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         renew_s = self._tenure.terms.renew_s
-        next_s = loop.time()
+        next_renewal_s = loop.time()
         while True:
-            wait_s = next_s - loop.time()
+            wait_s = next_renewal_s - loop.time()
             if wait_s > 0:
                 try:
                     first = await asyncio.wait_for(self._inbox.get(), wait_s)
@@ -85,14 +85,14 @@
                     continue
                 except TimeoutError:
                     pass
-            next_s = loop.time() + renew_s
+            next_renewal_s = loop.time() + renew_s
             await self._renew()
 
     async def _renew(self) -> None:
         tenure = self._tenure
         if self._name not in tenure.workers:
-            # The worker left the list; this task is about to be closed, or goes
-            # on where the worker comes back at once.
+            # The worker left the list. This task is closed soon, or resumes if
+            # the worker is listed again before that.
             return
         sent_s = asyncio.get_running_loop().time()
         task_term_s = tenure.get_task_term(self._name, sent_s)
@@ -106,9 +106,9 @@
         tenure.note_sent(self._name, sent_s, task_term_s)
         match await self._worker.lease(request):
             case Success(reply):
-                self._post(LeaseAnswer(self._name, epoch, sent_s, reply))
+                self._on_answer(LeaseAnswer(self._name, epoch, sent_s, reply))
             case _:
-                self._post(LeaseAnswer(self._name, epoch, sent_s, None))
+                self._on_answer(LeaseAnswer(self._name, epoch, sent_s, None))
 
     async def _send_commands(self, first: TaskCommand) -> None:
         commands = [first]
@@ -122,4 +122,4 @@
                 tenure.instance, tenure.get_epoch(self._name), tuple(commands)
             )
             reply = (await self._worker.command(request)).value_or(None)
-        self._post(CommandAnswer(self._name, epoch, tuple(commands), reply))
+        self._on_answer(CommandAnswer(self._name, epoch, tuple(commands), reply))
