--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -29,13 +29,15 @@
             )
 
         await wait_for(is_explained, f"{instance} explains the job")
-    # An owner that answers its peers later than in half a second leaves it empty; it
-    # may be late on a busy machine, but never says anything else.
-    said = []
+    # The explanation is empty if the owner does not answer its peer within 0.5 s, as
+    # may happen on a busy machine. Any other text is a failure.
+    explanations = []
 
-    async def is_said():
-        said.append((await cluster.get(name, "/v1/jobs/first")).json()["explanation"])
-        return said[-1]
+    async def is_running_explained():
+        explanations.append(
+            (await cluster.get(name, "/v1/jobs/first")).json()["explanation"]
+        )
+        return explanations[-1]
 
-    await wait_for(is_said, "the owner explains the running job")
-    assert said[-1] == "running on hall-b-worker-0, hall-b-worker-1"
+    await wait_for(is_running_explained, "the owner explains the running job")
+    assert explanations[-1] == "running on hall-b-worker-0, hall-b-worker-1"
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Check that logging neither blocks nor runs over its bounds."""
+"""Check that logging does not block and keeps to its limits."""
 
 import logging
 import queue
@@ -15,11 +15,11 @@
 
 @pytest.fixture
 def logger(lines):
-    made = logging.Logger("test")
+    test_logger = logging.Logger("test")
     handler = logs.BoundedHandler(lines)
     handler.setFormatter(logs.KeyValueFormatter())
-    made.addHandler(handler)
-    return made
+    test_logger.addHandler(handler)
+    return test_logger
 
 
 def test_lines_are_dropped_and_counted_when_nobody_reads(logger, lines):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Check that the documented metrics are those that an instance shows."""
+"""Check that an instance exposes exactly the documented metrics."""
 
 import re
 from pathlib import Path
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Check that tasks end although a cancellation gets lost."""
+"""Check that tasks end even if a cancellation is lost."""
 
 import asyncio
 
--- a/tests/test_worker_link.py
+++ b/tests/test_worker_link.py
@@ -1,4 +1,4 @@
-"""Check that the task of a worker lives through changes of the list."""
+"""Check that a worker's task keeps running when the list changes."""
 
 import asyncio
 
