--- a/src/larkhoist/daemon/hall_owner.py
+++ b/src/larkhoist/daemon/hall_owner.py
@@ -38,8 +38,8 @@
 class HallOwner:
     """The owner of a data hall: acquires worker leases and runs the scheduler.
 
-    It asks for leases while ``is_candidate`` returns true, and schedules jobs while
-    it holds the leases of a majority of the hall's workers.
+    It begins to ask for leases when ``is_candidate`` returns true, and schedules
+    jobs while it holds the leases of a majority of the hall's workers.
     """
 
     def __init__(
