--- a/tests/fleet/test_reservations.py
+++ b/tests/fleet/test_reservations.py
@@ -9,7 +9,7 @@
 WIDE = StepSpec(count=2, accelerators=8, estimate_ms=2000, gang=True, same_rack=True)
 
 
-def get_reserved(machine, job) -> frozenset[str]:
+def get_reserved_workers(machine, job) -> frozenset[str]:
     reservations = machine.owner.scheduler.state.reservations
     for phase in machine.owner.scheduler.state.jobs[job.job_id].phases.values():
         kept = reservations.get(phase.id)
@@ -58,14 +58,14 @@
     machine, (gang,) = make_scattered_machine()
     machine.submit(gang)
     machine.run(1)
-    first = get_reserved(machine, gang)
+    first = get_reserved_workers(machine, gang)
     assert len(first) == 2
     one = StepSpec(18, accelerators=1, estimate_ms=9000, checkpoints=True)
     small = make_job(2, one)
     machine.world._need_of = lambda _: one.need
     machine.submit(small)
     machine.run(2)
-    assert get_reserved(machine, gang) == first
+    assert get_reserved_workers(machine, gang) == first
     used = {r.worker for r in machine.world.history if r.task.startswith(small.job_id)}
     assert used
     assert not used & first
@@ -78,8 +78,8 @@
     machine.run(1)
     state = machine.owner.scheduler.state
     # Only one of them has workers of its own; it ranks behind the other.
-    (second,) = (job for job in gangs if get_reserved(machine, job))
-    kept = get_reserved(machine, second)
+    (second,) = (job for job in gangs if get_reserved_workers(machine, job))
+    kept = get_reserved_workers(machine, second)
     (first,) = (job for job in gangs if job is not second)
     state.jobs[first.job_id].phases[(0, 0)].due_s -= 1
     for name in kept:
@@ -94,7 +94,7 @@
     machine, (gang,) = make_scattered_machine()
     machine.submit(gang)
     machine.run(1)
-    assert get_reserved(machine, gang)
+    assert get_reserved_workers(machine, gang)
     machine.cancel(gang.job_id)
     machine.run(1)
     assert not len(machine.owner.scheduler.state.reservations)
@@ -115,14 +115,14 @@
     machine, (gang,) = make_scattered_machine()
     machine.submit(gang)
     machine.run(1)
-    kept = get_reserved(machine, gang)
+    kept = get_reserved_workers(machine, gang)
     one = StepSpec(20, cpu_milli=100, memory_mb=100, accelerators=1, estimate_ms=900)
     narrow = make_job(2, one)
     machine.world._need_of = lambda _: one.need
     machine.submit(narrow)
     machine.run(6)
     assert kept
-    assert get_reserved(machine, gang) == kept
+    assert get_reserved_workers(machine, gang) == kept
     used = {r.worker for r in machine.world.history if r.task.startswith(narrow.job_id)}
     assert used
     assert not used & kept
@@ -138,7 +138,7 @@
     machine.run(1)
     machine.submit(gang)
     machine.run(1)
-    assert len(get_reserved(machine, gang)) == 2
+    assert len(get_reserved_workers(machine, gang)) == 2
 
 
 def test_a_worker_is_kept_no_longer_once_a_task_that_lasts_has_taken_its_room():
@@ -151,12 +151,12 @@
     for job in (load, gang, rest):
         machine.submit(job)
         machine.run(1)
-    kept = get_reserved(machine, gang)
+    kept = get_reserved_workers(machine, gang)
     assert len(kept) == 2
     machine.submit(lasting)
     machine.run(4)
     (run,) = [r for r in machine.world.history if r.task.startswith(lasting.job_id)]
     assert run.worker in kept
-    renewed = get_reserved(machine, gang)
+    renewed = get_reserved_workers(machine, gang)
     assert len(renewed) == 2
     assert run.worker not in renewed
--- a/tests/fleet/test_scheduler.py
+++ b/tests/fleet/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Check single decisions of the scheduler of staged jobs."""
+"""Test single decisions of the scheduler of staged jobs."""
 
 import dataclasses
 
@@ -27,7 +27,7 @@
     return outcome.code if outcome is not None else None
 
 
-def get_kinds(machine, job) -> list[EndKind | None]:
+def get_end_kinds(machine, job) -> list[EndKind | None]:
     return [r.kind for r in machine.world.history if r.task.startswith(job.job_id)]
 
 
@@ -61,7 +61,7 @@
     machine.submit(job)
     machine.run(10)
     assert get_code(machine, job) == Code.JOB_FAILED
-    assert get_kinds(machine, job) == [EndKind.FAILED] * 2
+    assert get_end_kinds(machine, job) == [EndKind.FAILED] * 2
 
 
 def test_a_task_is_tried_again_elsewhere():
@@ -73,7 +73,7 @@
 
 
 def test_a_gang_is_tried_again_where_it_failed_when_it_fits_nowhere_else():
-    # Found by the machine, seed 54: all workers but one were left out for good.
+    # Found by a random simulation (seed 54): all workers but one stayed excluded.
     gang = StepSpec(count=3, accelerators=8, gang=True)
     job = make_job(1, gang, max_attempts=2)
     machine = make_machine(4, (job,), fails=lambda task, worker: True)
@@ -83,17 +83,17 @@
 
 
 def test_a_task_goes_back_where_it_failed_when_the_spread_limit_fills_the_rest():
-    # Found by the machine: the room on workers without a failure was counted beyond
-    # the limit, so that the tasks waited for ever beside idle workers.
+    # Found by a random simulation: the room on workers without a failure was counted
+    # without the spread limit, so the tasks waited forever beside idle workers.
     spread = StepSpec(count=5, accelerators=1, spread_limit=2)
     job = make_job(1, spread, max_attempts=4)
-    bad = {"w0", "w1"}
-    failed: dict[str, int] = {}
+    faulty = {"w0", "w1"}
+    run_counts: dict[str, int] = {}
 
     def fails(task: str, worker: str) -> bool:
-        # Each worker that is bad fails once what it is given first.
-        failed[worker] = failed.get(worker, 0) + 1
-        return worker in bad and failed[worker] <= 2
+        # Each faulty worker fails the first two tasks that it runs.
+        run_counts[worker] = run_counts.get(worker, 0) + 1
+        return worker in faulty and run_counts[worker] <= 2
 
     machine = make_machine(3, (job,), work_s=0.5, fails=fails)
     machine.submit(job)
@@ -133,14 +133,16 @@
 
 def test_a_guaranteed_job_stops_what_is_borrowed():
     borrowed = make_job(1, StepSpec(count=16, accelerators=1, checkpoints=True))
-    firm = make_job(2, StepSpec(count=1, accelerators=8, estimate_ms=900), priority=0)
-    machine = make_machine(2, (borrowed, firm), {"ann": 8}, work_s=20.0)
+    guaranteed = make_job(
+        2, StepSpec(count=1, accelerators=8, estimate_ms=900), priority=0
+    )
+    machine = make_machine(2, (borrowed, guaranteed), {"ann": 8}, work_s=20.0)
     machine.submit(borrowed)
     machine.run(1)
-    machine.submit(firm)
+    machine.submit(guaranteed)
     machine.run(2.5)
-    assert get_kinds(machine, firm) == [None]
-    assert get_kinds(machine, borrowed).count(EndKind.STOPPED) == 8
+    assert get_end_kinds(machine, guaranteed) == [None]
+    assert get_end_kinds(machine, borrowed).count(EndKind.STOPPED) == 8
 
 
 def test_a_cancelled_job_is_stopped_everywhere():
@@ -150,7 +152,7 @@
     machine.run(1)
     machine.cancel(job.job_id)
     machine.run(2)
-    assert get_kinds(machine, job) == [EndKind.STOPPED] * 3
+    assert get_end_kinds(machine, job) == [EndKind.STOPPED] * 3
     assert get_code(machine, job) == Code.JOB_CANCELLED
     assert not machine.owner.scheduler.state.jobs
 
@@ -163,7 +165,7 @@
     machine.replace_owner()
     machine.run(6)
     check_outcomes(machine)
-    assert get_kinds(machine, job) == [EndKind.DONE] * 3
+    assert get_end_kinds(machine, job) == [EndKind.DONE] * 3
 
 
 def test_a_silent_worker_keeps_its_task_until_the_lease_is_over():
@@ -193,8 +195,8 @@
 
 
 def test_nothing_waits_for_a_guarantee_while_workers_are_idle():
-    # A hunted day broke this: work that keeps no checkpoint stood still beside
-    # free workers, since guarantees covered nearly all of them.
+    # Found by a search over generated days: work without checkpoints waited beside
+    # idle workers, since guarantees covered nearly all of them.
     job = make_job(1, StepSpec(count=2, accelerators=8, gang=True))
     machine = make_machine(6, (job,), {"ann": 24, "bob": 24})
     machine.submit(job)
@@ -210,7 +212,7 @@
     machine.run(1)
     machine.submit(job)
     machine.run(5)
-    assert not get_kinds(machine, job)
+    assert not get_end_kinds(machine, job)
 
 
 def test_a_scheduled_run_waits_for_its_time():
@@ -242,7 +244,7 @@
     machine = make_machine(1, (job,), work_s=0.3)
     machine.submit(job)
     machine.run(3)
-    # Once before the outcome is read, once after it.
+    # The job is read again without its outcome, then accepted a second time.
     late = BookEntry(job=job)
     machine.owner.scheduler.add_job(late, machine.now_s, machine.now_ms)
     machine.run(3)
@@ -252,8 +254,8 @@
 
 
 def test_a_start_on_a_worker_that_was_idle_for_long_brings_a_lease():
-    # Found by the machine, seed 36: the lease of an idle worker was over, so that
-    # what had just started there was taken as gone and started again.
+    # Found by a random simulation (seed 36): the lease of an idle worker had ended, so
+    # a task that had just started there was taken as lost and started again.
     jobs = (make_job(1, ONE), make_job(2, ONE))
     machine = make_machine(1, jobs, work_s=3.0)
     machine.submit(jobs[0])
@@ -282,15 +284,15 @@
     full = make_job(1, StepSpec(count=1, accelerators=8), priority=0)
     borrowed = make_job(2, StepSpec(count=7, accelerators=1, checkpoints=True))
     spread = StepSpec(count=2, accelerators=1, estimate_ms=900, spread_limit=1)
-    firm = make_job(3, spread, priority=0)
-    jobs = (full, borrowed, firm)
+    guaranteed = make_job(3, spread, priority=0)
+    jobs = (full, borrowed, guaranteed)
     machine = make_machine(2, jobs, {"ann": 10}, work_s=20.0)
     for job in jobs:
         machine.submit(job)
         machine.run(1)
     machine.run(3)
-    assert get_kinds(machine, firm) == [None]
-    assert get_kinds(machine, borrowed) == [None] * 7
+    assert get_end_kinds(machine, guaranteed) == [None]
+    assert get_end_kinds(machine, borrowed) == [None] * 7
 
 
 def test_an_owner_sends_nothing_to_workers_that_never_answered_it():
@@ -324,8 +326,9 @@
 
 
 def test_a_start_refused_after_a_lost_one_may_have_run_to_its_end():
-    # A hunted day broke this: the first try of the start was carried out without an
-    # answer and was done before the second one came, which was refused as old.
+    # Found by a search over generated days: the first start call took effect, but its
+    # answer was lost. The task ended before the second call, which was refused because
+    # the attempt was too old.
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), work_s=0.3)
     machine.run(1)
@@ -370,7 +373,7 @@
 
 
 def test_a_successor_ends_a_job_whose_last_failure_is_all_that_was_kept():
-    # The outcome goes to another stream and may be lost with the owner.
+    # The outcome is written to another stream and may be lost if the owner fails.
     job = make_job(1, ONE, max_attempts=1)
     progress = PhaseProgress(
         PhaseId(job.job_id, 0, 0), (TaskProgress(attempt=1, failures=1),)
@@ -394,9 +397,9 @@
         machine.step()
         rounds += [encode_round(r) for r in machine.owner.uncommitted]
     last = next(r for r in rounds if r.dropped)
-    assert [kept.key[0] for kept in last.jobs] == ["o", "a", "b", "c"]
-    assert [kept.key[0] for kept in last.progress] == ["p"]
-    assert [(kept.key[0], kept.value) for kept in last.dropped] == [("p", b"")]
+    assert [record.key[0] for record in last.jobs] == ["o", "a", "b", "c"]
+    assert [record.key[0] for record in last.progress] == ["p"]
+    assert [(record.key[0], record.value) for record in last.dropped] == [("p", b"")]
 
 
 def test_a_job_has_begun_once():
@@ -430,14 +433,15 @@
     scheduler.take_report(other.worker, report, at_s, at_s, machine.now_ms)
     starts = scheduler.decide(at_s, machine.now_ms).starts
     assert [start.worker for start in starts] == [other.worker]
-    # The room that was kept is free again, once the stop is over.
+    # The room on the worker with the stop is no longer held for the urgent job.
     stopped = scheduler.state.workers[stops[0].worker]
     assert stopped.free == stopped.capacity - stopped.used
 
 
 def test_an_end_that_a_leaving_worker_listed_last_is_read_before_a_new_start():
-    # A hunted day broke this: the entry went 0.14 s after the worker had listed the
-    # end, the task was started elsewhere at once, and the end came later.
+    # Found by a search over generated days: the worker's entry was removed 0.14 s after
+    # the worker had listed the end. The task was started elsewhere at once, and the end
+    # was read later.
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), work_s=20.0)
     machine.submit(job)
