--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -1,9 +1,10 @@
-"""Give up a task that crashes each worker that starts it.
+"""Test that a task is given up if it crashes each worker that starts it.
 
-Two tasks of one deployment were started some 35 times each in a day. Each start ended
-with its worker, a few milliseconds after it had begun; the next worker got the task as
-soon as the loss was known. A worker that crashes lists no end, only listed ends counted
-against the attempts of a job, and so nothing ever ended the series:
+Guards against starting such a task without limit: two tasks of one deployment were
+started about 35 times each in a day. Their workers crashed a few milliseconds after
+each start, and another worker got the task as soon as the loss was known. Only ends
+that a worker lists counted against the attempts of a job, and a crashed worker lists
+none:
 
     start-decided job=P attempt=5 tasks=1 places=0.5@w5 waited_s=0.0
     worker-silent worker=w5 tasks=3
@@ -35,10 +36,10 @@
 
 ONE = StepSpec(count=1, cpu_milli=1000, memory_mb=100, accelerators=1, estimate_ms=900)
 GANG = StepSpec(count=3, accelerators=4, estimate_ms=900, gang=True)
-LASTING = StepSpec(count=1, accelerators=1, long_running=True)
+LONG_RUNNING = StepSpec(count=1, accelerators=1, long_running=True)
 
 
-def make_crashing(
+def make_crashing_machine(
     job: StagedJob, *others: StagedJob, count: int = 6, work_s: float = 3.0
 ) -> FleetMachine:
     """Return a machine on which the first task of ``job`` crashes its worker."""
@@ -47,17 +48,19 @@
     return machine
 
 
-def play(machine: FleetMachine, seconds: float, owner_every_s: float = 1e9) -> None:
-    """Let time pass in which workers that crashed come back."""
+def run_with_replacements(
+    machine: FleetMachine, seconds: float, owner_every_s: float = 1e9
+) -> None:
+    """Let time pass, replace crashed workers and change owners at an interval."""
     disturber = Disturber(machine, random.Random(0), often=0.0)
-    owner_s = machine.now_s + owner_every_s
+    next_change_s = machine.now_s + owner_every_s
     end_s = machine.now_s + seconds
     while machine.now_s < end_s:
         disturber.step()
         machine.step()
-        if machine.now_s >= owner_s:
+        if machine.now_s >= next_change_s:
             machine.replace_owner()
-            owner_s += owner_every_s
+            next_change_s += owner_every_s
 
 
 def count_starts(machine: FleetMachine, job: StagedJob) -> int:
@@ -69,13 +72,15 @@
     return outcome and outcome.code
 
 
-@pytest.mark.parametrize("step", [ONE, GANG, LASTING], ids=["one", "gang", "lasting"])
+@pytest.mark.parametrize(
+    "step", [ONE, GANG, LONG_RUNNING], ids=["one", "gang", "lasting"]
+)
 @pytest.mark.parametrize("owner_every_s", [1e9, 7.0], ids=["one-owner", "owners"])
 def test_a_task_that_crashes_its_workers_is_given_up(step, owner_every_s):
     job = make_job(1, step)
-    machine = make_crashing(job)
+    machine = make_crashing_machine(job)
     machine.submit(job)
-    play(machine, 60, owner_every_s)
+    run_with_replacements(machine, 60, owner_every_s)
     check_history(machine)
     assert count_starts(machine, job) <= 5
     assert get_code(machine, job) == Code.JOB_FAILED
@@ -83,17 +88,17 @@
 
 @pytest.mark.parametrize(("workers", "most"), [(3, 2), (8, 1)])
 def test_what_runs_beside_it_is_not_given_up_with_it(workers, most):
-    # Each crash took the work beside it to the next worker, and to the next crash.
+    # Work that moved with the crashing task to the next worker was lost there again.
     job = make_job(1, ONE, priority=0)
-    beside = make_job(2, StepSpec(count=12, accelerators=1, estimate_ms=900))
-    machine = make_crashing(job, beside, count=workers)
-    machine.submit(beside)
+    other_job = make_job(2, StepSpec(count=12, accelerators=1, estimate_ms=900))
+    machine = make_crashing_machine(job, other_job, count=workers)
+    machine.submit(other_job)
     machine.run(0.5)
     machine.submit(job)
-    play(machine, 60)
+    run_with_replacements(machine, 60)
     check_history(machine)
     assert get_code(machine, job) == Code.JOB_FAILED
-    assert get_code(machine, beside) == Code.JOB_FINISHED
+    assert get_code(machine, other_job) == Code.JOB_FINISHED
     lost = Counter(run.task for run in machine.world.history if run.lost)
     assert lost.pop(f"{job.job_id}.0.0.0") == 3
     assert max(lost.values(), default=0) <= most
@@ -102,9 +107,10 @@
 @pytest.mark.parametrize("workers", [2, 3])
 @pytest.mark.parametrize("owner_every_s", [1e9, 3.0], ids=["one-owner", "owners"])
 def test_work_whose_starts_met_crashes_of_others_goes_on(workers, owner_every_s):
-    # Six tasks crash their workers within seconds. One that crashes none was started
-    # four times where one of them, seen to run and blamed before, took the worker away
-    # before its start was answered; each counted as a lost worker of its own:
+    # Six tasks crash their workers within seconds. Four starts of a task that crashes
+    # none were lost because one of the six crashed the worker before the start was
+    # answered. Each loss counted against the innocent task, although the crashing one
+    # was seen running and had been blamed before:
     #     attempt-over task=9.0.0.0 attempt=5 seen_running=False proof=worker_replaced
     #     job-given-up task=9.0.0.0 attempt=5 crashes=1 blamed=0 unsure=4
     jobs = [make_job(number, ONE, priority=0) for number in range(1, 7)]
@@ -115,9 +121,9 @@
     machine.submit(innocent)
     machine.run(0.5)
     for job in jobs:
-        play(machine, 0.5)
+        run_with_replacements(machine, 0.5)
         machine.submit(job)
-    play(machine, 60, owner_every_s)
+    run_with_replacements(machine, 60, owner_every_s)
     check_history(machine)
     check_given_up(machine)
     assert get_code(machine, innocent) == Code.JOB_FINISHED
@@ -127,15 +133,15 @@
 
 def test_what_is_blamed_for_a_crash_goes_on_where_least_runs():
     job = make_job(1, ONE)
-    beside = make_job(2, StepSpec(count=2, accelerators=4, spread_limit=1))
-    machine = make_crashing(job, beside, count=4, work_s=30.0)
-    machine.submit(beside)
+    other_job = make_job(2, StepSpec(count=2, accelerators=4, spread_limit=1))
+    machine = make_crashing_machine(job, other_job, count=4, work_s=30.0)
+    machine.submit(other_job)
     machine.run(0.5)
     machine.submit(job)
-    play(machine, 10)
+    run_with_replacements(machine, 10)
     runs = [run for run in machine.world.history if run.task.startswith(job.job_id)]
     used = {run.worker for run in machine.world.history if run not in runs}
-    # Where others leave least room at first, and away from them after the crash.
+    # It starts on the fullest worker that has room, after the crash on an empty one.
     assert runs[0].worker in used
     assert len(runs) > 1
     assert not used & {run.worker for run in runs[1:]}
@@ -143,9 +149,9 @@
 
 def test_workers_that_come_back_after_their_lease_count_as_well():
     job = make_job(1, ONE)
-    machine = make_crashing(job, count=9)
+    machine = make_crashing_machine(job, count=9)
     machine.submit(job)
-    # No other life takes the place of any: the end of its lease alone tells.
+    # No crashed worker is replaced; only the end of its lease shows that it is gone.
     machine.run(150)
     check_history(machine)
     assert count_starts(machine, job) == 5
@@ -153,7 +159,7 @@
 
 
 def test_work_that_crashes_its_worker_before_it_answers_is_given_up():
-    # No start of it is ever answered, so that it is never seen to run.
+    # None of its starts is ever answered, so it is never seen running.
     job = make_job(1, ONE)
     machine = make_machine(6, (job,))
     start = machine.world.start
@@ -164,7 +170,7 @@
 
     machine.world.start = crash
     machine.submit(job)
-    play(machine, 120)
+    run_with_replacements(machine, 120)
     check_history(machine)
     assert count_starts(machine, job) <= 5
     assert get_code(machine, job) == Code.JOB_FAILED
@@ -172,10 +178,10 @@
 
 @pytest.mark.parametrize("restarts", [False, True], ids=["renamed", "same-name"])
 def test_crashes_that_show_after_the_lease_end_a_task_as_soon_as_others(restarts):
-    # Each worker was back after its lease of 2 s: five were lost instead of three, and
-    # so were others' runs beside them.
+    # Guards against losing five workers instead of three, and other tasks with them,
+    # where each worker is back only after its lease of 2 s.
     job = make_job(1, ONE)
-    machine = make_crashing(job, count=4)
+    machine = make_crashing_machine(job, count=4)
     machine.submit(job)
     world = machine.world
     for _ in range(900):
@@ -198,7 +204,7 @@
     machine = make_machine(2, (job,), work_s=1e9)
     machine.submit(job)
     machine.run(2.0)
-    name = find_run(machine)
+    name = find_busy_worker(machine)
     machine.cut.add(name)
     machine.run(15.0)
     machine.cut.clear()
@@ -207,14 +213,14 @@
     assert (task.lost.crashes, task.lost.unsure) == (0, 1)
 
 
-def lose_worker(machine: FleetMachine, name: str) -> None:
+def crash_and_replace_worker(machine: FleetMachine, name: str) -> None:
     worker = machine.world.workers[name]
     machine.world.kill(worker, machine.now_s)
     worker.listed = False
     machine.world.begin_life(worker)
 
 
-def find_run(machine: FleetMachine) -> str:
+def find_busy_worker(machine: FleetMachine) -> str:
     return next(run.worker for run in machine.world.history if run.ended_s is None)
 
 
@@ -224,38 +230,38 @@
     machine.submit(job)
     for _ in range(8):
         machine.run(12)
-        worker = machine.world.workers[find_run(machine)]
+        worker = machine.world.workers[find_busy_worker(machine)]
         machine.world.leave(worker, machine.now_s, says=True)
         machine.run(2.5)
         machine.world.begin_life(worker)
     machine.run(5)
     assert machine.book.get(job.job_id).outcome is None
-    assert find_run(machine)
+    assert find_busy_worker(machine)
 
 
 def test_work_that_lasts_is_not_given_up_for_crashes_long_after_its_start():
-    job = make_job(1, LASTING)
+    job = make_job(1, LONG_RUNNING)
     machine = make_machine(2, (job,), work_s=1e9)
     machine.submit(job)
     for _ in range(8):
         machine.run(62)
-        lose_worker(machine, find_run(machine))
+        crash_and_replace_worker(machine, find_busy_worker(machine))
     machine.run(5)
     assert machine.book.get(job.job_id).outcome is None
     for _ in range(3):
         machine.run(5)
-        lose_worker(machine, find_run(machine))
+        crash_and_replace_worker(machine, find_busy_worker(machine))
     machine.run(5)
     assert get_code(machine, job) == Code.JOB_FAILED
 
 
 def test_that_an_attempt_was_seen_to_run_outlives_its_owner():
-    # Work that crashes workers while owners change each second was started for ever.
+    # Guards against starting a crashing task forever while owners change each second.
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), work_s=60.0)
     machine.submit(job)
     machine.run(1.0)
-    lose_worker(machine, find_run(machine))
+    crash_and_replace_worker(machine, find_busy_worker(machine))
     machine.run(2.0)
     machine.replace_owner()
     _, task = machine.owner.scheduler.state.find(f"{job.job_id}.0.0.0")
--- a/tests/fleet/test_proofs.py
+++ b/tests/fleet/test_proofs.py
@@ -1,7 +1,7 @@
-"""An attempt is over by a proof alone, and by each proof as soon as it is known.
+"""Test that an attempt counts as over only on proof, and on each proof at once.
 
-The scheduler must neither free a task on less than a proof nor wait for one that can
-no longer come.
+The scheduler must neither free a task without proof that its attempt has ended nor
+wait for a proof that can no longer arrive.
 """
 
 import pytest
@@ -23,7 +23,7 @@
 
 ONE = StepSpec(count=1, cpu_milli=1000, memory_mb=100, accelerators=1, estimate_ms=900)
 PAIR = StepSpec(count=2, accelerators=8, gang=True)
-EMPTY = WorkerReport(0, (), ())
+EMPTY_REPORT = WorkerReport(0, (), ())
 
 
 def submit_one(workers: int = 2) -> tuple[FleetMachine, StagedJob]:
@@ -38,7 +38,9 @@
     return machine.owner.scheduler.decide(at_s, machine.now_ms)
 
 
-def report(machine: FleetMachine, worker: str, content: WorkerReport, at_s) -> None:
+def pass_report(
+    machine: FleetMachine, worker: str, content: WorkerReport, at_s
+) -> None:
     machine.owner.scheduler.take_report(worker, content, at_s, at_s, machine.now_ms)
 
 
@@ -64,16 +66,16 @@
     (start,) = decide(machine, machine.now_s).starts
     at_s = machine.now_s + 0.1
     scheduler = machine.owner.scheduler
-    # Asked for before the answer was heard of: it may be older than the start.
-    report(machine, start.worker, EMPTY, at_s)
+    # Requested before the start was answered, so it may be older than the start.
+    pass_report(machine, start.worker, EMPTY_REPORT, at_s)
     assert not get_proofs(decide(machine, at_s))
     scheduler.take_start_answer(start.task, start.attempt, None, False, at_s)
-    report(machine, start.worker, EMPTY, at_s + 0.1)
+    pass_report(machine, start.worker, EMPTY_REPORT, at_s + 0.1)
     assert get_proofs(decide(machine, at_s + 0.1)) == ["absent_from_report"]
 
 
 def test_a_report_that_does_not_list_all_ends_proves_nothing_by_absence():
-    # A worker lists so many ends at once; the task's own end may come with the rest.
+    # A report lists a limited number of ends; a later one may list the task's end.
     machine, _ = submit_one()
     (start,) = decide(machine, machine.now_s).starts
     at_s = machine.now_s + 0.1
@@ -81,16 +83,16 @@
     scheduler.take_start_answer(start.task, start.attempt, None, False, at_s)
     other = EndedTask(1, f"{9:016x}.0.0.0", 1, EndKind.DONE, "")
     partial = WorkerReport(0, (), (other,), whole=False)
-    report(machine, start.worker, partial, at_s + 1)
+    pass_report(machine, start.worker, partial, at_s + 1)
     assert not decide(machine, at_s + 1).starts
     done = EndedTask(2, start.task, start.attempt, EndKind.DONE, "")
-    report(machine, start.worker, WorkerReport(0, (), (done,)), at_s + 2)
+    pass_report(machine, start.worker, WorkerReport(0, (), (done,)), at_s + 2)
     assert get_outcomes(decide(machine, at_s + 2)) == [Code.JOB_FINISHED]
 
 
 def test_a_start_without_an_answer_is_over_once_its_own_lease_is():
-    # Stops are refused, reports are answered and show nothing. The worker's lease,
-    # which each report renews, would never be over.
+    # Stops are refused, and reports are answered but empty. Each report renews the
+    # worker's lease, so the attempt would never be over if it ended with that lease.
     machine, _ = submit_one()
     (start,) = decide(machine, machine.now_s).starts
     scheduler = machine.owner.scheduler
@@ -100,10 +102,10 @@
     lapse_s = scheduler.state.policy.lapse_s
     for waited_s in (1.0, 5.0, lapse_s):
         scheduler.grant_lease(start.worker, at_s + waited_s)
-        report(machine, start.worker, EMPTY, at_s + waited_s)
+        pass_report(machine, start.worker, EMPTY_REPORT, at_s + waited_s)
         assert not decide(machine, at_s + waited_s).starts
     later_s = at_s + lapse_s + 0.1
-    report(machine, start.worker, EMPTY, later_s)
+    pass_report(machine, start.worker, EMPTY_REPORT, later_s)
     decided = decide(machine, later_s)
     assert get_proofs(decided) == ["absent_from_report"]
     assert decided.starts
@@ -111,18 +113,18 @@
 
 @pytest.mark.parametrize("code", [Code.ORDER_REFUSED, Code.ORDER_TOO_LATE])
 def test_a_worker_that_refuses_starts_gets_the_next_one_later_each_time(code):
-    # Without a pause attempts followed each other by 16 ms at half, up to 1,135 of
-    # one task in 30 s.
+    # Without a pause, half of the attempts came within 16 ms of the one before, up to
+    # 1,135 attempts of one task in 30 s.
     machine, _ = submit_one(workers=1)
     scheduler = machine.owner.scheduler
-    tried_s = []
+    start_times_s = []
     at_s = machine.now_s
     while at_s < machine.now_s + 12.0:
         for start in decide(machine, at_s).starts:
-            tried_s.append(round(at_s - machine.now_s, 1))
+            start_times_s.append(round(at_s - machine.now_s, 1))
             scheduler.take_start_answer(start.task, start.attempt, code, False, at_s)
         at_s += 0.1
-    gaps = [b - a for a, b in zip(tried_s, tried_s[1:], strict=False)]
+    gaps = [b - a for a, b in zip(start_times_s, start_times_s[1:], strict=False)]
     assert [round(gap) for gap in gaps] == [1, 1, 2, 4, 4][: len(gaps)]
     assert 0.4 < gaps[0] < 1.1
     assert len(gaps) >= 4
@@ -173,14 +175,14 @@
     scheduler = machine.owner.scheduler
     stray = RunningTask(f"{9:016x}.0.0.0", 3, "", 100)
     at_s = machine.now_s
-    report(machine, "w0", WorkerReport(0, (stray,), ()), at_s)
+    pass_report(machine, "w0", WorkerReport(0, (stray,), ()), at_s)
     assert [stop.attempt for stop in decide(machine, at_s).stops] == [3]
     assert scheduler.is_busy("w0")
     again = decide(machine, at_s + scheduler.state.policy.resend_stop_s + 0.1)
     assert [stop.task for stop in again.stops] == [stray.task]
-    # It runs under a lease that somebody else gave; ours would only prolong it.
+    # It runs under another owner's lease; a lease from this owner would prolong it.
     assert scheduler.grant_lease("w0", at_s + 1) is None
-    report(machine, "w0", EMPTY, at_s + 1.5)
+    pass_report(machine, "w0", EMPTY_REPORT, at_s + 1.5)
     assert not scheduler.is_busy("w0")
     assert not decide(machine, at_s + 3).stops
 
@@ -191,7 +193,7 @@
     scheduler = machine.owner.scheduler
     stray = RunningTask(f"{9:016x}.0.0.0", 3, "", 100)
     at_s = machine.now_s
-    report(machine, "w0", WorkerReport(0, (stray,), ()), at_s)
+    pass_report(machine, "w0", WorkerReport(0, (stray,), ()), at_s)
     lapse_s = scheduler.state.policy.lapse_s
     decide(machine, at_s + lapse_s - 0.1)
     assert scheduler.is_busy("w0")
@@ -200,8 +202,8 @@
 
 
 def test_a_successor_counts_one_failure_of_a_gang_once():
-    # The first owner counted the failure of one member for all; the end that the
-    # other member listed for the same attempt comes to its successor.
+    # The first owner counted one member's failure for the whole gang. The failure of
+    # the other member in the same attempt is reported to the new owner.
     job = make_job(1, PAIR, max_attempts=2)
     members = (
         TaskProgress(attempt=1, failures=1),
@@ -211,7 +213,7 @@
     machine = take_over(PhaseProgress(phase, members, failed_attempt=1), job)
     failed = EndedTask(1, f"{job.job_id}.0.0.1", 1, EndKind.FAILED, "")
     at_s = machine.now_s + 1
-    report(machine, "w1", WorkerReport(0, (), (failed,)), at_s)
+    pass_report(machine, "w1", WorkerReport(0, (), (failed,)), at_s)
     assert not get_outcomes(decide(machine, at_s))
 
 
@@ -244,12 +246,12 @@
     scheduler = machine.owner.scheduler
     entries = machine._list_workers()
     stray = RunningTask(f"{9:016x}.0.0.0", 3, "", 100)
-    report(machine, start.worker, WorkerReport(0, (stray,), ()), machine.now_s)
+    pass_report(machine, start.worker, WorkerReport(0, (stray,), ()), machine.now_s)
     scheduler.note_replaced(start.worker, machine.now_s)
     decided = decide(machine, machine.now_s)
     assert get_proofs(decided) == ["worker_replaced"]
     assert [again.task for again in decided.starts] == [start.task]
-    # Nothing is left of what it ran unwanted; its entry stays for a while.
+    # Its unwanted run is forgotten, and its remaining entry in the list is ignored.
     scheduler.take_list(entries, machine.now_s + 1)
     assert start.worker not in scheduler.state.workers
 
@@ -260,12 +262,12 @@
     scheduler = machine.owner.scheduler
     running = RunningTask(start.task, start.attempt, "", 100)
     at_s = machine.now_s + 0.5
-    report(machine, start.worker, WorkerReport(0, (running,), ()), at_s)
+    pass_report(machine, start.worker, WorkerReport(0, (running,), ()), at_s)
     code = Code.WORKER_SILENT
     scheduler.take_start_answer(start.task, start.attempt, code, True, at_s + 0.5)
     assert not decide(machine, at_s + 0.5).stops
-    # It has begun once: a later report without it proves that it is over.
-    report(machine, start.worker, EMPTY, at_s + 1)
+    # The task was seen running, so a later report without it proves that it ended.
+    pass_report(machine, start.worker, EMPTY_REPORT, at_s + 1)
     assert get_proofs(decide(machine, at_s + 1)) == ["absent_from_report"]
 
 
@@ -302,7 +304,7 @@
     rest = [e for e in machine._list_workers() if e.name != start.worker]
     at_s = machine.now_s
     scheduler.take_list(rest, at_s)
-    # Entries that lapsed with the list's keeper are back by then.
+    # Entries that expired while the worker list was unavailable are back by then.
     assert scheduler.grant_lease(start.worker, at_s + 2) == policy.lease_s
     patience_s = policy.unlisted_patience_s
     lease_s = scheduler.grant_lease(start.worker, at_s + patience_s + 0.1)
@@ -315,7 +317,7 @@
     phase = PhaseId(job.job_id, 0, 0)
     machine = take_over(PhaseProgress(phase, members), job)
     policy = machine.owner.scheduler.state.policy
-    # A former owner that lost touch goes on renewing for some time.
+    # A former owner that lost contact with the log renews leases for some time.
     over_s = machine.now_s + policy.predecessor_s + policy.lapse_s
     assert not decide(machine, over_s - 0.1).starts
     assert get_proofs(decide(machine, over_s + 0.1)) == ["lease_over"]
