--- a/tests/fleet/test_unlisted_workers.py
+++ b/tests/fleet/test_unlisted_workers.py
@@ -1,19 +1,17 @@
-"""A task must not start again while its first run may go on.
+"""Test that a task does not start again while its first run may go on.
 
-Symptom: one task ran on two workers of different data halls at once. One owner had
-ordered both runs, in time; the first was never told to stop, ended as done, and its
-end was acknowledged.
+Guards against taking a missing list entry of a leaving worker as proof that nothing
+runs there. One task then ran on two workers of different data halls at once, both
+started by the same owner:
 
-Sequence: a worker said that it would leave and ran on; its entry went off the list,
-since entries lapsed with the list's keeper; the owner freed its tasks at once and
-started them elsewhere, where starts were refused, one every 16 ms, until one was
-taken; the first run ended as done; the entry came back, and that end was read and
-acknowledged, and thrown away as that of an old attempt.
+- A worker announced that it would leave and ran on. Its entry disappeared because the
+  entries expired while the worker list was unavailable.
+- The owner freed its tasks at once and started them elsewhere, where starts were
+  refused, one every 16 ms, until one was accepted. It did not stop the first run.
+- The first run ended as done. When the entry was back, the owner read and acknowledged
+  that end and discarded it as that of an old attempt.
 
-Cause: that the entry of a leaving worker is gone was taken as proof that nothing runs
-there.
-
-What settled it, from one owner's log (seconds), with the runs as the workers saw them:
+From one owner's log (seconds), with the runs as the workers reported them:
      4.452 run 3 begins on A
      6.159 worker-leaving worker=A
     12.691 worker-unlisted worker=A leaving=True; worker-idle worker=A reason=left
@@ -22,7 +20,7 @@
     13.217 run 3 ends as done on A
     13.480 worker-listed worker=A
     13.487 task-ended worker=A attempt=3 how=done current=False
-Of 205 such cases 197 show these lines; in 8 the bound on log lines had dropped them.
+Of 205 such cases 197 show these lines; in 8 the limit on log lines had dropped them.
 """
 
 import dataclasses
@@ -44,7 +42,7 @@
 
 
 def run_one_task() -> tuple[FleetMachine, Run]:
-    """Return a machine of two workers and the one run that has begun there."""
+    """Return a machine with two workers and its only run, which has started."""
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), work_s=60.0)
     machine.submit(job)
@@ -53,8 +51,8 @@
     return machine, run
 
 
-def take_off_list(machine: FleetMachine, name: str, *, leaving: bool) -> None:
-    """Let the owner read that a worker leaves, then that its entry is gone."""
+def remove_from_list(machine: FleetMachine, name: str, *, leaving: bool) -> None:
+    """Pass the owner a list with the worker, marked ``leaving``, and one without it."""
     scheduler = machine.owner.scheduler
     entries = machine._list_workers()
     marked = [
@@ -72,11 +70,11 @@
 
 def test_a_task_stays_where_it_runs_when_the_entry_of_a_leaving_worker_goes():
     machine, run = run_one_task()
-    take_off_list(machine, run.worker, leaving=True)
+    remove_from_list(machine, run.worker, leaving=True)
     assert not decide(machine, machine.now_s).starts
-    # The worker lives on and says so.
-    still = RunningTask(run.task, run.attempt, "", 100)
-    report = WorkerReport(0, (still,), ())
+    # The worker is still up and reports the run.
+    running = RunningTask(run.task, run.attempt, "", 100)
+    report = WorkerReport(0, (running,), ())
     at_s = machine.now_s + 0.5
     machine.owner.scheduler.take_report(run.worker, report, at_s, at_s, machine.now_ms)
     decided = decide(machine, at_s)
@@ -86,7 +84,7 @@
 
 def test_the_end_on_a_worker_off_the_list_counts():
     machine, run = run_one_task()
-    take_off_list(machine, run.worker, leaving=True)
+    remove_from_list(machine, run.worker, leaving=True)
     decided = decide(machine, machine.now_s)
     done = EndedTask(1, run.task, run.attempt, EndKind.DONE, "")
     at_s = machine.now_s + 0.5
@@ -101,7 +99,7 @@
 def test_a_task_on_a_worker_off_the_list_starts_again_after_the_lease():
     machine, run = run_one_task()
     worker = machine.owner.scheduler.state.workers[run.worker]
-    take_off_list(machine, run.worker, leaving=True)
+    remove_from_list(machine, run.worker, leaving=True)
     assert not decide(machine, worker.lease_end_s).starts
     after = decide(machine, worker.lease_end_s + 0.01)
     assert [(start.task, start.attempt) for start in after.starts] == [(run.task, 2)]
--- a/tests/fleet/test_worker_restarts.py
+++ b/tests/fleet/test_worker_restarts.py
@@ -1,4 +1,4 @@
-"""Check what the owner logs when a worker restarts under the same name."""
+"""Test how the owner handles a worker that restarts under the same name."""
 
 from dataclasses import replace as replace_fields
 
@@ -64,7 +64,8 @@
 
 
 def test_ends_on_a_restarted_worker_are_taken_once():
-    # If ends renumbered from 1 are ignored but acknowledged, their tasks run twice.
+    # A restarted worker numbers its ends from 1 again. If they are ignored but
+    # acknowledged, their tasks run twice.
     jobs = tuple(make_job(n, replace(ONE, count=2)) for n in (1, 2))
     machine = make_machine(1, jobs)
     machine.submit(jobs[0])
