--- a/tests/fleet/test_exclusion.py
+++ b/tests/fleet/test_exclusion.py
@@ -1,4 +1,4 @@
-"""Tell why workers get no new work, and why a step stands beside free room."""
+"""Test the reasons given for excluded workers and for steps that do not start."""
 
 import pytest
 
@@ -12,13 +12,13 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_worker_has_a_reason_if_and_only_if_it_is_not_usable(seed):
-    machine, chance, waiting = create_play(seed)
+    machine, rng, unsubmitted = create_play(seed)
     put_in_halls(machine)
-    disturber = Disturber(machine, chance, 20.0)
+    disturber = Disturber(machine, rng, 20.0)
     reasons = set()
     for _ in range(300):
-        if waiting and chance.random() < 0.1:
-            machine.submit(waiting.pop())
+        if unsubmitted and rng.random() < 0.1:
+            machine.submit(unsubmitted.pop())
         disturber.step()
         machine.step()
         state = machine.owner.scheduler.state
@@ -37,10 +37,10 @@
     machine.run(1.0)
     machine.submit(job)
     machine.run(5.0)
-    stands = find_stands(machine)
-    assert stands["excluded"] == "leaving:1"
-    assert stands["on_workers"] == 1
-    assert stands["service_used"] == "0.000/0.000/0.500"
+    wait_fields = find_wait_fields(machine)
+    assert wait_fields["excluded"] == "leaving:1"
+    assert wait_fields["on_workers"] == 1
+    assert wait_fields["service_used"] == "0.000/0.000/0.500"
 
 
 def test_a_gang_that_stands_says_how_much_room_one_rack_has():
@@ -52,11 +52,11 @@
     machine.run(1.0)
     machine.submit(job)
     machine.run(5.0)
-    stands = find_stands(machine)
-    assert stands["room_for"] == 2
-    assert stands["rack_room_for"] == 1
+    wait_fields = find_wait_fields(machine)
+    assert wait_fields["room_for"] == 2
+    assert wait_fields["rack_room_for"] == 1
 
 
-def find_stands(machine: FleetMachine) -> dict[str, object]:
+def find_wait_fields(machine: FleetMachine) -> dict[str, object]:
     found = [noted.note for noted in machine.notes if noted.note.event == "stands"]
     return dict(found[0].fields)
--- a/tests/fleet/test_incarnation.py
+++ b/tests/fleet/test_incarnation.py
@@ -1,4 +1,4 @@
-"""Check which incarnation of a worker an answer is attributed to."""
+"""Test which incarnation of a worker an answer is attributed to."""
 
 import pytest
 
--- a/tests/fleet/test_rooms.py
+++ b/tests/fleet/test_rooms.py
@@ -1,8 +1,8 @@
-"""Start nothing beyond the room that a worker has now.
+"""Test that no task is started beyond a worker's current capacity.
 
-A worker's room may shrink and grow while it runs, and its entry says so. The owner kept
-the room that it had read first: a worker that does not guard its room was started over
-it, one that does refused start after start.
+A worker's capacity may change while it runs, and its list entry shows the change.
+Guards against an owner that uses the capacity it read first: a worker without its own
+check gets more tasks than fit, and one with a check refuses start after start.
 """
 
 import pytest
@@ -13,12 +13,12 @@
 from tests.fleet.checks import check_history
 from tests.fleet.machine import FleetMachine
 
-WHOLE = Resources(32_000, 64_000, 8)
-QUARTER = Resources(8_000, 16_000, 2)
-EIGHT = StepSpec(count=8, cpu_milli=1000, accelerators=1, estimate_ms=900)
+FULL_CAPACITY = Resources(32_000, 64_000, 8)
+QUARTER_CAPACITY = Resources(8_000, 16_000, 2)
+EIGHT_TASKS = StepSpec(count=8, cpu_milli=1000, accelerators=1, estimate_ms=900)
 
 
-def set_room(machine: FleetMachine, name: str, room: Resources) -> None:
+def set_capacity(machine: FleetMachine, name: str, room: Resources) -> None:
     machine.world.workers[name].capacity = room
 
 
@@ -31,16 +31,16 @@
 
 
 def test_a_room_that_shrank_takes_no_more_than_fits_until_it_grows():
-    job = make_job(1, EIGHT)
+    job = make_job(1, EIGHT_TASKS)
     machine = make_machine(1, (job,), work_s=6.0)
     machine.run(1)
-    set_room(machine, "w0", QUARTER)
+    set_capacity(machine, "w0", QUARTER_CAPACITY)
     machine.run(1)
     machine.submit(job)
     machine.run(3)
     assert count_running(machine) == 2
     assert count_refused(machine) == 0
-    set_room(machine, "w0", WHOLE)
+    set_capacity(machine, "w0", FULL_CAPACITY)
     machine.run(1)
     assert count_running(machine) == 8
     check_history(machine)
@@ -53,7 +53,7 @@
     machine.submit(borrowed)
     machine.run(1)
     assert count_running(machine) == 8
-    set_room(machine, "w0", QUARTER)
+    set_capacity(machine, "w0", QUARTER_CAPACITY)
     machine.run(0.5)
     machine.submit(urgent)
     for _ in range(40):
@@ -69,7 +69,7 @@
     assert count_refused(machine) == 0
 
 
-@pytest.mark.parametrize("room", [Resources(), QUARTER])
+@pytest.mark.parametrize("room", [Resources(), QUARTER_CAPACITY])
 def test_a_plan_on_a_worker_that_can_never_hold_it_any_more_is_dropped(room):
     borrowed = make_job(1, make_step(count=16, checkpoints=True))
     urgent = make_job(2, StepSpec(count=1, accelerators=8, estimate_ms=900), priority=0)
@@ -83,7 +83,7 @@
         for _, phase in machine.owner.scheduler.state.iter_phases()
         for name in phase.plan.values()
     }
-    set_room(machine, planned, room)
+    set_capacity(machine, planned, room)
     machine.run(5)
     begun = [r for r in machine.world.history if r.task.startswith(urgent.job_id)]
     assert [run.worker for run in begun] != [planned]
--- a/tests/fleet/test_silent_leases.py
+++ b/tests/fleet/test_silent_leases.py
@@ -1,4 +1,4 @@
-"""Check what later owners are told of the leases of silent workers."""
+"""Test how owners pass on the ends of leases of silent workers."""
 
 from larkhoist.fleet.silent_leases import REPEAT_S, SILENT_S, LeaseNote, SilentLeases
 from larkhoist.fleet.worker import FleetWorker
@@ -48,7 +48,7 @@
 
 
 def test_the_remaining_time_is_kept_again_and_again():
-    # Another owner counts it from when it reads it.
+    # A new owner counts the remaining time from when it reads the record.
     leases, worker = SilentLeases(), make_worker(10.0)
     leases.update([worker], SILENT_S)
     assert leases.update([worker], SILENT_S + REPEAT_S / 2) is None
@@ -65,7 +65,7 @@
 
 
 def test_a_new_owner_grants_no_lease_that_the_log_says_is_withheld():
-    # A third owner would count on the record that the first one left.
+    # A third owner would rely on the record that the first one wrote.
     leases, worker = SilentLeases(), make_worker(10.0, silent=False)
     worker.heard_s = float("-inf")
     leases.take_over({"w0": 3.0}, {"w0": worker}, 0.0)
@@ -75,7 +75,7 @@
     assert leases.update([worker], 0.3).granted == {"w0"}
 
 
-def cut_for(machine: FleetMachine, name: str, seconds: float) -> None:
+def disconnect_for(machine: FleetMachine, name: str, seconds: float) -> None:
     machine.cut.add(name)
     machine.run(seconds)
     machine.cut.clear()
@@ -87,7 +87,7 @@
     machine.submit(job)
     machine.run(2)
     (run,) = machine.world.history
-    cut_for(machine, run.worker, 4.0)
+    disconnect_for(machine, run.worker, 4.0)
     assert "l" in machine.progress
     machine.replace_owner()
     machine.run(30)
--- a/tests/fleet/test_speeds.py
+++ b/tests/fleet/test_speeds.py
@@ -1,4 +1,4 @@
-"""Check what is learnt of how fast workers are."""
+"""Test the estimates of how fast workers are."""
 
 import random
 
@@ -12,12 +12,12 @@
 
 
 def test_slow_workers_are_told_apart_after_a_few_uneven_tasks():
-    chance = random.Random(1)
+    rng = random.Random(1)
     speeds = WorkerSpeeds()
     for _ in range(6):
         for number in range(30):
-            pace = 1.3 if number % 3 == 0 else 1.0
-            took_s = pace * chance.uniform(0.85, 1.15)
+            duration_factor = 1.3 if number % 3 == 0 else 1.0
+            took_s = duration_factor * rng.uniform(0.85, 1.15)
             speeds.note(f"w{number}", took_s, 1.1)
     slow = [speeds.get_factor(f"w{n}") for n in range(30) if n % 3 == 0]
     fast = [speeds.get_factor(f"w{n}") for n in range(30) if n % 3]
--- a/tests/fleet/test_spread_limits.py
+++ b/tests/fleet/test_spread_limits.py
@@ -1,4 +1,4 @@
-"""Run steps with more tasks than their spread limit lets run at once."""
+"""Test steps with more tasks than their spread limit allows at once."""
 
 import pytest
 
@@ -14,7 +14,8 @@
 
 @pytest.mark.parametrize(("count", "limit"), [(8, 1), (14, 1), (13, 2)])
 def test_a_step_wider_than_its_spread_limit_stood_still_for_good(count, limit):
-    # Workers whose task had ended as done were never given another one.
+    # Guards against never starting another task of the step on a worker where one is
+    # done.
     job = make_job(1, StepSpec(count=count, accelerators=1, spread_limit=limit))
     machine = make_machine(6, (job,), work_s=WORK_S)
     machine.submit(job)
