--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -31,19 +31,19 @@
 )
 
 SEEDS = (*range(12), 21, 22, 39, 81)
-"""Twelve arbitrary seeds, and four that each reproduced another kind of stall."""
+"""Twelve arbitrary seeds, and four that each showed a different kind of stall."""
 JOBS = 12
 LONG_RUNNING_SHARE = 0.15
 LONG_RUNNING_WORK_S = (5.0, 20.0, 1000.0)
 """How long a long-running task works until it fails."""
 CRASHED_SHARE = 0.3
-"""Share of the departing workers that crash instead of serving on for a while."""
+"""Share of the departing workers that crash instead of running on for a while."""
 DEPARTING_SHARES = (0.2, 0.5, 0.7, 0.85)
 """Share of the workers that leave for good."""
 DISTURBED_S = 30.0
 SETTLE_S = 20.0
 """Time after the last departure: longer than a lease, a take-over, and the time that
-leaving workers serve on."""
+leaving workers run on."""
 OBSERVED_S = 40.0
 END_MARGIN_S = 30.0
 WAVE_MARGIN_S = 3.0
--- a/tests/fleet/test_scheduler.py
+++ b/tests/fleet/test_scheduler.py
@@ -433,7 +433,7 @@
     scheduler.take_report(other.worker, report, at_s, at_s, machine.now_ms)
     starts = scheduler.decide(at_s, machine.now_ms).starts
     assert [start.worker for start in starts] == [other.worker]
-    # The room on the worker with the stop is no longer held for the urgent job.
+    # The room that the stop was to free is no longer held for the urgent job.
     stopped = scheduler.state.workers[stops[0].worker]
     assert stopped.free == stopped.capacity - stopped.used
 
--- a/tests/fleet/test_shrunken_fleets.py
+++ b/tests/fleet/test_shrunken_fleets.py
@@ -33,7 +33,7 @@
 def announce_leaving(
     machine: FleetMachine, names: Iterable[str], extra_s: float = 0.0
 ) -> None:
-    """Make workers announce that they leave and stop ``extra_s`` after their notice."""
+    """Make workers announce that they leave; ``extra_s`` prolongs their notice time."""
     for name in names:
         worker = machine.world.workers[name]
         machine.world.leave(worker, machine.now_s, extra_s, says=True)
