--- a/src/larkhoist/scheduling/__init__.py
+++ b/src/larkhoist/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Order the jobs of a data hall and run gangs whole."""
+"""Schedule the jobs of a data hall, with all members of a gang or none."""
--- a/src/larkhoist/scheduling/accelerators.py
+++ b/src/larkhoist/scheduling/accelerators.py
@@ -1,7 +1,7 @@
-"""Keep account of who uses which accelerators of a data hall.
+"""Track which accelerators of a data hall are in use.
 
-Two indexes are kept: ``free`` holds what can be used at once, ``firm`` counts
-everything as free that can be reclaimed.
+There are two indexes: ``free`` holds the accelerators that can be used at once, and
+``firm`` counts those that can be reclaimed as free too.
 """
 
 from collections.abc import Iterable
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Accelerators:
-    """Hold the accelerators of one data hall."""
+    """The accelerators of one data hall."""
 
     free: FreeIndex = field(default_factory=FreeIndex)
     firm: FreeIndex = field(default_factory=FreeIndex)
@@ -39,27 +39,27 @@
         self.firm.add_worker(name, rack, size)
 
     def remove_worker(self, name: str) -> None:
-        """Take a worker out."""
+        """Remove a worker."""
         del self.workers[name]
         self.free.remove_worker(name)
         self.firm.remove_worker(name)
 
     def set_usable(self, name: str, usable: bool) -> None:
-        """Let work go to a worker or keep it away."""
+        """Set whether new members may be placed on a worker."""
         worker = self.workers[name]
         if worker.usable != usable:
             worker.usable = usable
             self._refresh(name)
 
     def set_reserved(self, names: Iterable[str], reserved: bool) -> None:
-        """Withhold workers from everyone but the holder of a reservation."""
+        """Set whether workers are open only to the job that reserved them."""
         for name in names:
             if name in self.workers:
                 self.workers[name].reserved = reserved
                 self._refresh(name)
 
     def use(self, places: Iterable[MemberPlace], firm: bool) -> None:
-        """Mark accelerators as used by an attempt."""
+        """Mark accelerators as used; ``firm`` ones cannot be reclaimed."""
         for place in places:
             worker = self.workers[place.worker]
             worker.busy |= place.mask
@@ -68,7 +68,7 @@
             self._refresh(place.worker)
 
     def release(self, places: Iterable[MemberPlace]) -> None:
-        """Mark accelerators as not used any more."""
+        """Mark accelerators as no longer used."""
         for place in places:
             worker = self.workers.get(place.worker)
             if worker is not None:
@@ -77,7 +77,7 @@
                 self._refresh(place.worker)
 
     def hold(self, places: Iterable[MemberPlace]) -> None:
-        """Keep accelerators for a job while those who use them leave."""
+        """Hold accelerators for a job while the attempts on them are stopped."""
         for place in places:
             self.workers[place.worker].held |= place.mask
             self._refresh(place.worker)
@@ -91,18 +91,18 @@
                 self._refresh(place.worker)
 
     def is_clear(self, places: Iterable[MemberPlace]) -> bool:
-        """Tell whether no attempt uses the accelerators any more."""
+        """Tell whether no attempt uses the accelerators."""
         return not any(self.workers[place.worker].busy & place.mask for place in places)
 
     def are_usable(self, places: Iterable[MemberPlace]) -> bool:
-        """Tell whether every worker of ``places`` is there and takes work."""
+        """Tell whether every worker of ``places`` is listed and accepts work."""
         return all(
             place.worker in self.workers and self.workers[place.worker].usable
             for place in places
         )
 
     def make_subindex(self, names: Iterable[str]) -> FreeIndex:
-        """Return an index of what is free on some workers, reserved or not."""
+        """Return an index of the free accelerators of workers, reserved or not."""
         index = FreeIndex()
         for name in names:
             worker = self.workers.get(name)
@@ -116,7 +116,7 @@
 
     def _refresh(self, name: str) -> None:
         worker = self.workers[name]
-        open_to_all = worker.usable and not worker.reserved
-        self.free.set_free(name, self._get_free(worker) if open_to_all else 0)
+        unreserved = worker.usable and not worker.reserved
+        self.free.set_free(name, self._get_free(worker) if unreserved else 0)
         firm = make_mask(worker.size) & ~worker.firm_busy
         self.firm.set_free(name, firm if worker.usable else 0)
--- a/src/larkhoist/scheduling/attempt.py
+++ b/src/larkhoist/scheduling/attempt.py
@@ -1,8 +1,8 @@
-"""Run one attempt of a gang whole or not at all.
+"""Run one attempt of a gang: either all of its members run or none does.
 
-All members are prepared before any is started. Once one fails to start, is lost
-or fails, the others are stopped, and the attempt ends only when every member is
-known to have stopped.
+All members are prepared before any is started. If one fails to start, is lost or
+fails, the others are stopped. The attempt ends only when every member is known to
+have stopped.
 """
 
 from collections.abc import Iterable
@@ -28,7 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimes:
-    """Hold the time limits of an attempt, in seconds."""
+    """Time limits of an attempt, in seconds.
+
+    ``hold_s`` is how long a worker keeps a prepared member that is not started.
+    """
 
     prepare_s: float = 3.0
     hold_s: float = 6.0
@@ -39,7 +42,10 @@
 
 
 class Phase(Enum):
-    """Name the phases of an attempt."""
+    """Phase of an attempt.
+
+    ``NOTING`` waits until the log says that the attempt was placed.
+    """
 
     PREPARING = "preparing"
     NOTING = "noting"
@@ -50,11 +56,14 @@
     ENDED = "ended"
 
 
-_AT_WORK = (Phase.STARTING, Phase.RUNNING, Phase.RECLAIMING)
+_STARTED_PHASES = (Phase.STARTING, Phase.RUNNING, Phase.RECLAIMING)
 
 
 class MemberState(Enum):
-    """Name what is known of one member."""
+    """Last known state of one member.
+
+    ``GONE`` means that the member was stopped or lost.
+    """
 
     ASKED = "asked"
     PREPARED = "prepared"
@@ -64,7 +73,7 @@
     GONE = "gone"
 
 
-_REPORTED = {
+_MEMBER_STATES = {
     TaskState.PREPARED: MemberState.PREPARED,
     TaskState.RUNNING: MemberState.RUNNING,
     TaskState.THROTTLED: MemberState.RUNNING,
@@ -72,18 +81,18 @@
     TaskState.FAILED: MemberState.FAILED,
     TaskState.STOPPED: MemberState.GONE,
 }
-_OVER = (MemberState.FINISHED, MemberState.FAILED, MemberState.GONE)
-_STARTED = (MemberState.RUNNING, MemberState.FINISHED)
+_ENDED_STATES = (MemberState.FINISHED, MemberState.FAILED, MemberState.GONE)
+_STARTED_STATES = (MemberState.RUNNING, MemberState.FINISHED)
 
 
 def get_member_state(state: TaskState) -> MemberState:
-    """Return what a task's reported state means for its member."""
-    return _REPORTED[state]
+    """Return the member state that corresponds to a reported task state."""
+    return _MEMBER_STATES[state]
 
 
 @dataclass(slots=True)
 class Member:
-    """Hold one member of an attempt."""
+    """One member of an attempt."""
 
     place: MemberPlace
     state: MemberState = MemberState.ASKED
@@ -93,9 +102,10 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Hold one attempt of one job.
+    """One attempt to run a job.
 
-    ``lost_member`` tells that a member was lost with its worker after the start.
+    ``code`` is the result once the attempt has ended. ``lost_member`` tells whether a
+    member was lost with its worker after the start.
     """
 
     spec: JobSpec
@@ -114,7 +124,7 @@
     lost_member: bool = False
 
     def begin(self, now_s: float) -> list[Effect]:
-        """Ask every worker to prepare its members."""
+        """Return the commands that prepare every member on its worker."""
         self._enter(Phase.PREPARING, now_s)
         self.sent_s = now_s
         return [
@@ -122,25 +132,28 @@
             for index in range(len(self.members))
         ]
 
-    def recover(self, noted: bool, now_s: float) -> list[Effect]:
-        """Go on from the reported states, under a new owner.
+    def recover(self, placement_logged: bool, now_s: float) -> list[Effect]:
+        """Continue an earlier owner's attempt from the states that workers reported.
 
-        An attempt that had begun to start and has every member is started to
-        the end; one that lacks a member is stopped. ``noted`` tells whether the
-        log says that it was placed: what is not repeatable starts only then.
+        If at least one member has started and all others are prepared, those are
+        started too. If a member is missing or none has started, the attempt is stopped.
+        ``placement_logged`` tells whether the log says that the attempt was placed; a
+        job that is not repeatable starts only after that.
         """
-        self.may_have_run = noted or self.spec.repeatable
+        self.may_have_run = placement_logged or self.spec.repeatable
         states = {member.state for member in self.members}
         self.started_s = now_s - max(member.elapsed_s for member in self.members)
-        if states <= set(_STARTED):
+        if states <= set(_STARTED_STATES):
             self._enter(Phase.RUNNING, now_s)
-            return [self._make_placed()]
-        if states <= {MemberState.PREPARED, *_STARTED} and states & set(_STARTED):
+            return [self._append_placement()]
+        if states <= {MemberState.PREPARED, *_STARTED_STATES} and states & set(
+            _STARTED_STATES
+        ):
             return self._begin_start(now_s)
         return self.stop(Code.MEMBER_LOST, now_s)
 
     def note_command(self, index: int, verb: Verb, done: bool | None) -> None:
-        """Take the outcome of a command; None where no answer came."""
+        """Apply the outcome of a command; ``done`` is None if there was no answer."""
         member = self.members[index]
         match verb, done:
             case Verb.PREPARE, True:
@@ -162,9 +175,9 @@
                 pass
 
     def note_reports(self, worker: str, tasks: dict[int, TaskReport]) -> None:
-        """Take a worker's full report of this attempt's members on it."""
+        """Apply a worker's report, which lists every task of this attempt on it."""
         for index, member in enumerate(self.members):
-            if member.place.worker != worker or member.state in _OVER:
+            if member.place.worker != worker or member.state in _ENDED_STATES:
                 continue
             report = tasks.get(index)
             if report is None:
@@ -175,23 +188,23 @@
                 member.elapsed_s = report.elapsed_s
 
     def note_idle(self, workers: Iterable[str]) -> None:
-        """Note that ``workers`` have surely stopped everything."""
+        """Mark the members on ``workers`` as gone: all tasks there have stopped."""
         idle = set(workers)
         for member in self.members:
-            if member.place.worker in idle and member.state not in _OVER:
+            if member.place.worker in idle and member.state not in _ENDED_STATES:
                 member.state = MemberState.GONE
-                self.lost_member |= self.phase in _AT_WORK
+                self.lost_member |= self.phase in _STARTED_PHASES
 
-    def step(self, now_s: float, noted: bool) -> list[Effect]:
-        """Move on as far as the members' states allow.
+    def step(self, now_s: float, placement_logged: bool) -> list[Effect]:
+        """Advance the attempt as far as its members' states and the time allow.
 
-        ``noted`` tells whether the log says that this attempt was placed.
+        ``placement_logged`` tells whether the log says that it was placed.
         """
         match self.phase:
             case Phase.PREPARING:
                 return self._step_preparing(now_s)
             case Phase.NOTING:
-                return self._begin_start(now_s) if noted else []
+                return self._begin_start(now_s) if placement_logged else []
             case Phase.STARTING:
                 return self._step_starting(now_s)
             case Phase.RUNNING:
@@ -204,7 +217,7 @@
                 return []
 
     def stop(self, code: Code, now_s: float) -> list[Effect]:
-        """Stop every member; the attempt ends with ``code``."""
+        """Stop every member; the attempt will end with ``code``."""
         if self.phase in (Phase.STOPPING, Phase.ENDED):
             return []
         self.code = code
@@ -213,14 +226,14 @@
         return self._step_stopping(now_s)
 
     def reclaim(self, now_s: float) -> list[Effect]:
-        """Ask a running attempt for its accelerators: checkpoint comes first."""
+        """Reclaim the accelerators; a running attempt may write a checkpoint first."""
         if self.phase is not Phase.RUNNING:
             return self.stop(Code.RECLAIMED, now_s)
         self._enter(Phase.RECLAIMING, now_s)
         return self._command_all(Verb.CHECKPOINT)
 
     def forget(self) -> list[Effect]:
-        """Let the workers forget the members."""
+        """Return the commands that make the workers forget the members."""
         return [
             self._make_command(index, Verb.FORGET) for index in range(len(self.members))
         ]
@@ -231,7 +244,7 @@
 
     @property
     def is_checkpointed(self) -> bool:
-        """Tell whether every member keeps its progress."""
+        """Tell whether every member has written a checkpoint."""
         return all(member.checkpointed for member in self.members)
 
     def _enter(self, phase: Phase, now_s: float) -> None:
@@ -243,9 +256,9 @@
             if self.spec.repeatable:
                 return self._begin_start(now_s)
             self._enter(Phase.NOTING, now_s)
-            return [self._make_placed()]
+            return [self._append_placement()]
         late = now_s - self.changed_s > self.times.prepare_s
-        if late or any(m.state in _OVER for m in self.members):
+        if late or any(m.state in _ENDED_STATES for m in self.members):
             return self.stop(Code.START_INCOMPLETE, now_s)
         return []
 
@@ -263,10 +276,10 @@
         ]
 
     def _step_starting(self, now_s: float) -> list[Effect]:
-        if all(m.state in _STARTED for m in self.members):
+        if all(m.state in _STARTED_STATES for m in self.members):
             self._enter(Phase.RUNNING, now_s)
             self.started_s = now_s
-            placed = [self._make_placed()] if self.spec.repeatable else []
+            placed = [self._append_placement()] if self.spec.repeatable else []
             return placed + self._step_running(now_s)
         if any(m.state in (MemberState.FAILED, MemberState.GONE) for m in self.members):
             return self._stop_for_failure(now_s, Code.START_INCOMPLETE)
@@ -286,17 +299,17 @@
             return self._stop_for_failure(now_s, Code.MEMBER_LOST)
         return []
 
-    def _stop_for_failure(self, now_s: float, otherwise: Code) -> list[Effect]:
+    def _stop_for_failure(self, now_s: float, default_code: Code) -> list[Effect]:
         self.failed_workers = [
             m.place.worker for m in self.members if m.state is MemberState.FAILED
         ]
-        code = Code.JOB_FAILED if self.failed_workers else otherwise
+        code = Code.JOB_FAILED if self.failed_workers else default_code
         return self.stop(code, now_s)
 
     def _step_reclaiming(self, now_s: float) -> list[Effect]:
-        over = self._step_running(now_s)
+        effects = self._step_running(now_s)
         if self.phase is not Phase.RECLAIMING:
-            return over
+            return effects
         waited_s = now_s - self.changed_s
         limit_s = self.times.checkpoint_grace_s
         if self.is_checkpointed:
@@ -309,7 +322,7 @@
         return []
 
     def _step_stopping(self, now_s: float) -> list[Effect]:
-        if all(member.state in _OVER for member in self.members):
+        if all(member.state in _ENDED_STATES for member in self.members):
             self._enter(Phase.ENDED, now_s)
             return []
         if now_s - self.sent_s < self.times.resend_s:
@@ -318,17 +331,17 @@
         return self._command_all(Verb.STOP)
 
     def _note_missing(self, member: Member) -> None:
-        # A member that was only asked for may still be on its way to the
-        # worker; it is dropped there when its hold runs out.
+        # The command to prepare this member may still be in transit. If it arrives
+        # later, the worker drops the member after ``hold_s``.
         if self.phase is Phase.STOPPING or member.state is not MemberState.ASKED:
             member.state = MemberState.GONE
-            self.lost_member |= self.phase in _AT_WORK
+            self.lost_member |= self.phase in _STARTED_PHASES
 
     def _command_all(self, verb: Verb) -> list[Effect]:
         return [
             self._make_command(index, verb)
             for index, member in enumerate(self.members)
-            if member.state not in _OVER
+            if member.state not in _ENDED_STATES
         ]
 
     def _make_command(self, index: int, verb: Verb) -> Send:
@@ -347,7 +360,7 @@
         )
         return Send(place.worker, command)
 
-    def _make_placed(self) -> Append:
+    def _append_placement(self) -> Append:
         workers = tuple(dict.fromkeys(m.place.worker for m in self.members))
         record = JobPlaced(self.spec.job_id, self.hall, self.number, workers)
         return Append(record)
--- a/src/larkhoist/scheduling/drain.py
+++ b/src/larkhoist/scheduling/drain.py
@@ -1,4 +1,4 @@
-"""Choose the workers that clear first for a gang that has waited long."""
+"""Reserve the workers that are expected to clear first for a long-waiting gang."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -11,18 +11,18 @@
 
 
 def predict_clear_times(
-    jobs: Iterable[HallJob], expect: Callable[[JobSpec], float], now_s: float
+    jobs: Iterable[HallJob], predict_run_time: Callable[[JobSpec], float], now_s: float
 ) -> dict[str, float]:
-    """Return by worker when the work on it should have ended.
+    """Return, by worker, the expected end of all work on it.
 
-    ``expect`` returns the run time of a job in seconds.
+    ``predict_run_time`` returns the run time of a job in seconds.
     """
     clear: dict[str, float] = {}
     for job in jobs:
         if job.phase is not JobPhase.ACTIVE:
             continue
         began_s = job.current.started_s or now_s
-        end_s = max(now_s, began_s + expect(job.spec))
+        end_s = max(now_s, began_s + predict_run_time(job.spec))
         for member in job.current.members:
             name = member.place.worker
             clear[name] = max(clear.get(name, now_s), end_s)
@@ -36,10 +36,10 @@
     may_reserve: Callable[[str], bool],
     now_s: float,
 ) -> Reservation | None:
-    """Return the workers that will be clear first, or None where none can be.
+    """Return the workers expected to clear first, or None if too few are suitable.
 
-    ``clear_times`` holds when the work on a worker should have ended; a worker
-    without an entry is clear now.
+    ``clear_times`` holds the expected end of work by worker; a worker without an entry
+    is clear now.
     """
     if spec.adjacency == "hall" and spec.members > 1:
         groups = [list(accelerators.workers)]
@@ -71,11 +71,11 @@
     for clear_s, name in candidates:
         if needed <= 0:
             break
-        fitting = accelerators.workers[name].size >> get_level(block)
-        if fitting == 0:
+        capacity = accelerators.workers[name].size >> get_level(block)
+        if capacity == 0:
             continue
         chosen.append(name)
-        needed -= fitting
+        needed -= capacity
         ready_s = max(ready_s, clear_s)
     if needed > 0:
         return None
--- a/src/larkhoist/scheduling/effect.py
+++ b/src/larkhoist/scheduling/effect.py
@@ -1,4 +1,4 @@
-"""Hold what a scheduling decision asks the daemon to do."""
+"""Define the actions that the scheduler asks the daemon to carry out."""
 
 from dataclasses import dataclass
 
--- a/src/larkhoist/scheduling/guarantee_book.py
+++ b/src/larkhoist/scheduling/guarantee_book.py
@@ -1,4 +1,4 @@
-"""Keep account of which guarantees of a data hall are in use."""
+"""Track which guarantees of a data hall are in use."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True)
 class GuaranteeBook:
-    """Hold the customers in force; ``firm`` counts what is reclaimable as free."""
+    """The customers' guarantees; ``firm`` counts reclaimable accelerators as free."""
 
     hall: str
     firm: FreeIndex
     customers: dict[str, CustomerSpec] = field(default_factory=dict)
 
     def fits(self, job: HallJob, jobs: Iterable[HallJob]) -> bool:
-        """Tell whether a job stays within what its customer has left to claim."""
+        """Tell whether a job fits into the unused part of its customer's guarantee."""
         customer = self.customers.get(job.spec.customer)
         if customer is None:
             return False
@@ -41,9 +41,9 @@
     def check(
         self, jobs: Iterable[HallJob], claimant: HallJob | None = None
     ) -> tuple[bool, str]:
-        """Tell whether the cells that are not in use can be had, and if not, why.
+        """Tell whether all unused guaranteed cells are available, and if not, why.
 
-        ``claimant`` counts as if it ran.
+        ``claimant`` counts as if it were running.
         """
         unclaimed = self._get_unclaimed(list(jobs), claimant)
         return can_cover(self.firm, unclaimed, self.firm.get_largest_size())
--- a/src/larkhoist/scheduling/hall.py
+++ b/src/larkhoist/scheduling/hall.py
@@ -1,8 +1,8 @@
 """Schedule the jobs of one data hall.
 
-The scheduler is a pure state machine: it is told what the log, the workers and
-the clock say and returns what to send and to append. Daemon and replay drive the
-same object.
+The scheduler is a state machine without I/O. Its inputs are the log, the workers'
+reports and the time; it returns the commands to send and the records to append. The
+daemon and the replay both use it.
 """
 
 from collections import defaultdict
@@ -29,8 +29,8 @@
 
 __all__ = ["HallScheduler", "create_hall_scheduler"]
 
-LOOK_INTERVAL_S = 1.0
-SINGLE_PATIENCE = 10.0
+PLACEMENT_INTERVAL_S = 1.0
+SINGLE_MEMBER_PATIENCE_FACTOR = 10.0
 _ACTIVE_TASKS = (TaskState.PREPARED, TaskState.RUNNING, TaskState.THROTTLED)
 
 
@@ -45,13 +45,13 @@
         self._guarantees = GuaranteeBook(hall, self.accelerators.firm)
         self.learner = RuntimeLearner()
         self.quarantine = Quarantine()
-        self._on_worker: dict[str, set[str]] = defaultdict(set)
-        self._touched: set[str] = set()
+        self._jobs_by_worker: dict[str, set[str]] = defaultdict(set)
+        self._changed_jobs: set[str] = set()
         self._waiting: set[str] = set()
-        self._look_s = float("-inf")
+        self._next_placement_s = float("-inf")
         self._usable: dict[str, bool] = {}
 
-    # What the scheduler is told.
+    # Inputs.
 
     def add_worker(self, name: str, rack: str, size: int) -> None:
         """Add a worker of the hall."""
@@ -59,20 +59,20 @@
         self._usable[name] = True
 
     def remove_worker(self, name: str) -> None:
-        """Take a worker off the hall; its members are lost."""
+        """Remove a worker from the hall; the members on it are lost."""
         self.note_idle(name)
         self.accelerators.remove_worker(name)
         del self._usable[name]
 
     def set_usable(self, name: str, usable: bool) -> None:
-        """Let new work go to a worker, or keep it away."""
+        """Set whether new members may be placed on a worker."""
         if self._usable[name] != usable:
-            self._look_s = float("-inf")
+            self._next_placement_s = float("-inf")
         self._usable[name] = usable
         self.accelerators.set_usable(name, usable)
 
     def set_customers(self, customers: Mapping[str, CustomerSpec]) -> None:
-        """Take over the customers in force."""
+        """Replace the customers and their guarantees."""
         self._guarantees.customers = dict(customers)
 
     def add_job(
@@ -84,9 +84,9 @@
         failures: int = 0,
         early_losses: int = 0,
     ) -> None:
-        """Take a job into the hall; ``recovering`` where it may run already.
+        """Add a job to the hall; ``recovering`` means that it may already run.
 
-        ``failures`` and ``early_losses`` are what the log has counted so far.
+        ``failures`` and ``early_losses`` are the counts in the log so far.
         """
         phase = JobPhase.RECOVERING if recovering else JobPhase.WAITING
         job = HallJob(spec, now_s, attempt, phase)
@@ -97,7 +97,7 @@
             self._note_waiting(spec.job_id)
 
     def cancel_job(self, job_id: str, now_s: float) -> list[Effect]:
-        """End a job on its customer's wish."""
+        """Cancel a job at its customer's request."""
         job = self.jobs[job_id]
         if job.cancelled:
             return []
@@ -105,19 +105,19 @@
         if job.phase is JobPhase.WAITING:
             return self._end_job(job, Code.JOB_CANCELLED)
         if job.phase is JobPhase.ACTIVE:
-            self._touched.add(job_id)
+            self._changed_jobs.add(job_id)
             return job.current.stop(Code.JOB_CANCELLED, now_s)
         return []
 
     def note_placed(self, job_id: str, attempt: int, workers: tuple[str, ...]) -> None:
-        """Note that the log says that an attempt was placed on ``workers``."""
+        """Record that, according to the log, an attempt was placed on ``workers``."""
         if job_id in self.jobs:
             self.jobs[job_id].placed_attempt = attempt
             self.jobs[job_id].placed_workers = workers
-            self._touched.add(job_id)
+            self._changed_jobs.add(job_id)
 
     def note_ended(self, job_id: str) -> list[Effect]:
-        """Note that the log says that a job has ended; drop it."""
+        """Remove a job that has ended according to the log."""
         job = self.jobs.pop(job_id, None)
         if job is None:
             return []
@@ -125,31 +125,34 @@
         return job.current.forget() if job.current is not None else []
 
     def note_command(self, command: TaskCommand, done: bool | None) -> None:
-        """Take the outcome of a command; None where no answer came."""
+        """Apply the outcome of a command; ``done`` is None if there was no answer."""
         job = self.jobs.get(command.job_id)
         if job is None or job.current is None:
             return
         if job.current.number == command.attempt:
-            self._touched.add(command.job_id)
+            self._changed_jobs.add(command.job_id)
             job.current.note_command(command.member, command.verb, done)
 
     def note_report(self, worker: str, tasks: tuple[TaskReport, ...]) -> list[Effect]:
-        """Take a worker's full report; return what to do about stray tasks."""
+        """Apply a worker's full report.
+
+        Returns the commands that stop or forget the tasks of other attempts on it.
+        """
         by_attempt: dict[tuple[str, int], dict[int, TaskReport]] = defaultdict(dict)
         for task in tasks:
             by_attempt[(task.job_id, task.attempt)][task.member] = task
-        for job_id in self._on_worker[worker]:
+        for job_id in self._jobs_by_worker[worker]:
             attempt = self.jobs[job_id].current
             found = by_attempt.pop((job_id, attempt.number), {})
             attempt.note_reports(worker, found)
-            self._touched.add(job_id)
-        return self._clear_strays(worker, by_attempt)
+            self._changed_jobs.add(job_id)
+        return self._clear_stray_tasks(worker, by_attempt)
 
     def note_idle(self, worker: str) -> None:
-        """Note that a worker has surely stopped everything."""
-        for job_id in self._on_worker[worker]:
+        """Mark the members on ``worker`` as gone: all tasks there have stopped."""
+        for job_id in self._jobs_by_worker[worker]:
             self.jobs[job_id].current.note_idle((worker,))
-            self._touched.add(job_id)
+            self._changed_jobs.add(job_id)
 
     def recover(
         self,
@@ -158,15 +161,16 @@
         is_known: Callable[[str], bool],
         now_s: float,
     ) -> list[Effect]:
-        """Take over what runs, once every worker is known (a settled tenure).
+        """Take over the jobs that may run, once the tenure is settled.
 
-        ``reports`` holds the last one of each worker that has answered in this
-        tenure: a job that is in none of them counts as gone.
+        A tenure is settled when each worker has granted its lease or must have stopped
+        its tasks (``is_known``). ``reports`` holds the last report of each worker in
+        this tenure; a job that is in none of them does not run.
 
-        What is not repeatable waits until the log was read to its end in this
-        tenure (``log_current``): an earlier owner may have started it. A job that
-        the log has on a worker that is not known, since it left the list, waits
-        until that worker must have stopped.
+        A job that is not repeatable waits until the log has been read to its end in
+        this tenure (``log_current``), because an earlier owner may have started it. A
+        job that the log has on a worker which left the list waits until that worker
+        must have stopped its tasks.
         """
         effects: list[Effect] = []
         for job in self.jobs.values():
@@ -179,20 +183,20 @@
         return effects
 
     def has_recovering(self) -> bool:
-        """Tell whether a job still waits to be taken over."""
+        """Tell whether any job still waits to be taken over."""
         return any(j.phase is JobPhase.RECOVERING for j in self.jobs.values())
 
-    # What the scheduler decides.
+    # Decisions.
 
     def decide(self, now_s: float) -> list[Effect]:
-        """Move every attempt on and place what can be placed."""
+        """Advance the attempts that may have changed and place waiting jobs."""
         self._apply_quarantine(now_s)
         effects: list[Effect] = []
-        # A running attempt has nothing to do until something is heard of it.
-        touched, self._touched = self._touched, set()
-        for job_id in sorted(touched):
+        # A running attempt needs no step until a report or command outcome arrives.
+        changed, self._changed_jobs = self._changed_jobs, set()
+        for job_id in sorted(changed):
             effects += self._step_job(job_id, now_s)
-        if self._waiting and now_s >= self._look_s:
+        if self._waiting and now_s >= self._next_placement_s:
             effects += self._place_waiting(now_s)
         return effects
 
@@ -200,16 +204,16 @@
         job = self.jobs.get(job_id)
         if job is None or job.phase is not JobPhase.ACTIVE:
             return []
-        noted = job.placed_attempt >= job.current.number
-        effects = job.current.step(now_s, noted)
+        placement_logged = job.placed_attempt >= job.current.number
+        effects = job.current.step(now_s, placement_logged)
         if job.current.phase is Phase.ENDED:
-            return effects + self._conclude(job, now_s)
+            return effects + self._finish_attempt(job, now_s)
         if job.current.phase is not Phase.RUNNING:
-            self._touched.add(job_id)
+            self._changed_jobs.add(job_id)
         return effects
 
     def explain(self, job_id: str, now_s: float) -> str:
-        """Return in one sentence why a job waits or where it runs."""
+        """Return a short text that says why a job waits or where it runs."""
         job = self.jobs.get(job_id)
         if job is None:
             return f"job {job_id} is not in data hall {self.hall}"
@@ -231,13 +235,13 @@
             f"in one {spec.adjacency}; {free} are free"
         )
 
-    # Ends of attempts.
+    # End of an attempt.
 
-    def _conclude(self, job: HallJob, now_s: float) -> list[Effect]:
+    def _finish_attempt(self, job: HallJob, now_s: float) -> list[Effect]:
         attempt = job.current
         code = Code(attempt.code)
         self._release(job)
-        self._learn(job, attempt, now_s)
+        self._record_outcome(job, attempt, now_s)
         if job.cancelled and code is not Code.JOB_FINISHED:
             return self._end_job(job, Code.JOB_CANCELLED)
         if code in (Code.JOB_FINISHED, Code.JOB_CANCELLED):
@@ -246,7 +250,7 @@
             job.failures += code is Code.JOB_FAILED
             if job.failures >= self.policy.max_failures:
                 return self._end_job(job, Code.JOB_FAILED)
-        lost_early = self._tell_early_loss(attempt, now_s)
+        lost_early = self._check_early_loss(attempt, now_s)
         job.early_losses = count_early_loss(job.early_losses, lost_early)
         if job.early_losses >= self.policy.max_early_losses:
             return self._end_job(job, Code.MEMBER_LOST)
@@ -255,7 +259,7 @@
             return self._end_job(job, code)
         return self._requeue(job, code, lost_early)
 
-    def _tell_early_loss(self, attempt: Attempt, now_s: float) -> bool | None:
+    def _check_early_loss(self, attempt: Attempt, now_s: float) -> bool | None:
         if not attempt.lost_member:
             return None
         began_s = attempt.started_s or now_s
@@ -284,7 +288,7 @@
         record = JobFinished(job.spec.job_id, self.hall, job.attempt, code)
         return [Append(record)]
 
-    def _learn(self, job: HallJob, attempt: Attempt, now_s: float) -> None:
+    def _record_outcome(self, job: HallJob, attempt: Attempt, now_s: float) -> None:
         workers = {member.place.worker for member in attempt.members}
         if attempt.code is Code.JOB_FINISHED:
             self.learner.note(job.spec, attempt.changed_s - attempt.started_s)
@@ -298,10 +302,10 @@
         if job.current is not None and job.phase is JobPhase.ACTIVE:
             self.accelerators.release(job.current.get_places())
             for place in job.current.get_places():
-                self._on_worker[place.worker].discard(job.spec.job_id)
+                self._jobs_by_worker[place.worker].discard(job.spec.job_id)
         self._waiting.discard(job.spec.job_id)
         self._drop_claims(job)
-        self._look_s = float("-inf")
+        self._next_placement_s = float("-inf")
 
     def _drop_claims(self, job: HallJob) -> None:
         self.accelerators.drop_hold(job.held)
@@ -313,23 +317,23 @@
 
     def _note_waiting(self, job_id: str) -> None:
         self._waiting.add(job_id)
-        self._look_s = float("-inf")
+        self._next_placement_s = float("-inf")
 
     def _note_active(self, job: HallJob) -> None:
         job.phase = JobPhase.ACTIVE
         self._waiting.discard(job.spec.job_id)
-        self._touched.add(job.spec.job_id)
+        self._changed_jobs.add(job.spec.job_id)
         for place in job.current.get_places():
-            self._on_worker[place.worker].add(job.spec.job_id)
+            self._jobs_by_worker[place.worker].add(job.spec.job_id)
 
     def _apply_quarantine(self, now_s: float) -> None:
         for name, usable in self._usable.items():
-            kept_out = self.quarantine.holds(name, now_s)
-            self.accelerators.set_usable(name, usable and not kept_out)
+            quarantined = self.quarantine.holds(name, now_s)
+            self.accelerators.set_usable(name, usable and not quarantined)
 
-    # Recovery and strays.
+    # Recovery and stray tasks, which belong to no current attempt.
 
-    def _clear_strays(self, worker, by_attempt) -> list[Effect]:
+    def _clear_stray_tasks(self, worker, by_attempt) -> list[Effect]:
         effects: list[Effect] = []
         for (job_id, number), tasks in by_attempt.items():
             job = self.jobs.get(job_id)
@@ -359,8 +363,8 @@
         )
         places = [m.place for m in members if m.place.worker]
         self.accelerators.use(places, job.firm)
-        noted = job.placed_attempt >= newest
-        return job.current.recover(noted, now_s)
+        placement_logged = job.placed_attempt >= newest
+        return job.current.recover(placement_logged, now_s)
 
     def _recover_absent(self, job: HallJob) -> list[Effect]:
         if job.placed_attempt < job.attempt:
@@ -374,7 +378,7 @@
     # Placement.
 
     def _place_waiting(self, now_s: float) -> list[Effect]:
-        self._look_s = now_s + LOOK_INTERVAL_S
+        self._next_placement_s = now_s + PLACEMENT_INTERVAL_S
         waiting = [self.jobs[job_id] for job_id in self._waiting]
         self._mark_firm([job for job in waiting if not job.held])
         waiting.sort(key=lambda job: get_queue_key(job, now_s))
@@ -439,10 +443,13 @@
         self.accelerators.use(places, firm)
         return job.current.begin(now_s)
 
-    # Guarantees and reclaim.
+    # Guarantees and reclaiming of borrowed accelerators.
 
     def check_guarantees(self) -> tuple[bool, str]:
-        """Tell whether free or reclaimable cells cover unclaimed guarantees."""
+        """Tell whether all unused guarantees can be met, and if not, why.
+
+        Reclaimable accelerators count as free.
+        """
         return self._guarantees.check(self.jobs.values())
 
     def _keeps_guarantees(self, job: HallJob, places: list[MemberPlace]) -> bool:
@@ -470,7 +477,7 @@
         return self._reclaim_places(places, uses, now_s)
 
     def _find_firm(self, job: HallJob) -> list[MemberPlace] | None:
-        """Return the places that break up the fewest cells, held ones left out."""
+        """Return places that split as few cells as possible, without held ones."""
         held = [place for other in self.jobs.values() for place in other.held]
         self.accelerators.firm.take(held)
         places = self.accelerators.firm.find(*job.get_shape())
@@ -502,7 +509,7 @@
             attempt = self.jobs[job_id].current
             if attempt.phase not in (Phase.RECLAIMING, Phase.STOPPING, Phase.ENDED):
                 effects += attempt.reclaim(now_s)
-                self._touched.add(job_id)
+                self._changed_jobs.add(job_id)
         return effects
 
     def _place_held(self, job: HallJob, now_s: float) -> list[Effect]:
@@ -522,7 +529,7 @@
             return self._drain_reservation(job, now_s)
         patience_s = self.policy.patience_s
         if job.spec.members == 1:
-            patience_s *= SINGLE_PATIENCE
+            patience_s *= SINGLE_MEMBER_PATIENCE_FACTOR
         if now_s - job.submitted_s < patience_s:
             return []
         reserved = [
@@ -531,7 +538,9 @@
             if other.reservation is not None
             for name in other.reservation.workers
         ]
-        clear_times = predict_clear_times(self.jobs.values(), self._expect, now_s)
+        clear_times = predict_clear_times(
+            self.jobs.values(), self._predict_median, now_s
+        )
         found = choose_reservation(
             self.accelerators,
             job.spec,
@@ -554,7 +563,7 @@
             self.accelerators.set_reserved(reservation.workers, False)
             job.reservation = None
             return []
-        late = now_s - reservation.made_s > self.policy.drain_s
+        late = now_s - reservation.created_s > self.policy.drain_s
         if not late or reservation.reclaimed:
             return []
         reservation.reclaimed = True
@@ -569,10 +578,10 @@
         places = [MemberPlace(name, 0) for name in job.reservation.workers]
         return self.accelerators.are_usable(places)
 
-    def _expect(self, spec: JobSpec) -> float:
+    def _predict_median(self, spec: JobSpec) -> float:
         return self.learner.predict(spec, quantile=0.5)
 
 
 def create_hall_scheduler(hall: str, policy: SchedulingPolicy) -> HallScheduler:
-    """Return a scheduler that knows no worker and no job yet."""
+    """Return a scheduler without workers or jobs."""
     return HallScheduler(hall, policy)
--- a/src/larkhoist/scheduling/hall_job.py
+++ b/src/larkhoist/scheduling/hall_job.py
@@ -1,4 +1,4 @@
-"""Hold one job as its data hall's owner sees it."""
+"""Define the state of a job at the owner of its data hall."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class JobPhase(Enum):
-    """Name the phases of a job in its data hall."""
+    """Phase of a job in its data hall."""
 
     RECOVERING = "recovering"
     WAITING = "waiting"
@@ -21,21 +21,25 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """Hold workers that drain for one waiting gang."""
+    """Workers that take no new work until they are clear for a waiting gang.
+
+    ``ready_s`` is when they are expected to be clear.
+    """
 
     workers: tuple[str, ...]
-    made_s: float
+    created_s: float
     ready_s: float
     reclaimed: bool = False
 
 
 @dataclass(slots=True)
 class HallJob:
-    """Hold one job; ``held`` are accelerators kept while others are reclaimed.
+    """One job in its data hall.
 
-    ``failures`` and ``early_losses`` count as the log does, over owners.
-    ``placed_attempt`` and ``placed_workers`` are what the log says of its newest
-    start.
+    ``held`` are the places kept for it while the attempts on them are stopped.
+    ``failures`` and ``early_losses`` are also counted in the log, so that a change of
+    owner does not reset them. ``placed_attempt`` and ``placed_workers`` are the newest
+    placement in the log.
     """
 
     spec: JobSpec
@@ -54,5 +58,5 @@
     code: int = 0
 
     def get_shape(self) -> tuple[int, int, str]:
-        """Return what decides whether the job fits."""
+        """Return members, accelerators per member and adjacency."""
         return self.spec.members, self.spec.accelerators, self.spec.adjacency
--- a/src/larkhoist/scheduling/policy.py
+++ b/src/larkhoist/scheduling/policy.py
@@ -1,4 +1,4 @@
-"""Hold the weights and bounds of the scheduling policy."""
+"""Define the parameters of the scheduling policy."""
 
 from dataclasses import dataclass, field
 
@@ -9,16 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulingPolicy:
-    """Hold the policy of one data hall; times are in seconds.
+    """The scheduling policy of one data hall; times are in seconds.
 
-    A gang that has waited for ``patience_s`` gets workers reserved, and once they
-    have been draining for ``drain_s`` borrowed work on them is reclaimed. Several
-    reservations stand beside each other up to ``reserved_share`` of the workers.
+    Workers are reserved for a gang that has waited for ``patience_s``. After they have
+    drained for ``drain_s``, borrowed work on them is reclaimed. Reservations together
+    cover at most ``reserved_share`` of the workers, but one is always allowed.
 
-    ``max_early_losses`` attempts in a row that lose a member with its worker within
-    ``early_loss_s`` of their start end a gang: work that crashes its workers would be
-    placed for ever. A gang that runs longer costs a worker a minute at the most; of
-    1,024 members some 30 lose theirs in ten hours of an ordinary day of 19,000 workers.
+    A gang ends after ``max_early_losses`` attempts in a row that each lose a member
+    with its worker within ``early_loss_s`` of the start; otherwise a job that crashes
+    its workers would be placed again without end. Later losses are not counted: a gang
+    that runs longer crashes a worker at most once a minute, and ordinary failures also
+    hit large gangs (about 30 of 1,024 members in ten hours, with 19,000 workers).
     """
 
     patience_s: float = 30.0
--- a/src/larkhoist/scheduling/recovery.py
+++ b/src/larkhoist/scheduling/recovery.py
@@ -1,4 +1,4 @@
-"""Read from workers' reports what an earlier owner has started."""
+"""Find the attempts of an earlier owner in the workers' reports."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundAttempt:
-    """Hold the newest attempt that was reported; number 0 where there is none.
+    """The newest reported attempt of a job; ``number`` is 0 if there is none.
 
-    A member that nobody reported counts as gone.
+    A member that no worker reported counts as gone.
     """
 
     number: int
@@ -26,7 +26,7 @@
 def find_newest_attempt(
     spec: JobSpec, reports: Mapping[str, tuple[TaskReport, ...]]
 ) -> FoundAttempt:
-    """Return the newest attempt of a job in the reports, by worker."""
+    """Return the newest attempt of a job; ``reports`` holds the tasks by worker."""
     found: dict[int, dict[int, Member]] = defaultdict(dict)
     for worker, tasks in reports.items():
         for task in tasks:
--- a/src/larkhoist/scheduling/victims.py
+++ b/src/larkhoist/scheduling/victims.py
@@ -1,4 +1,4 @@
-"""Choose whose borrowed accelerators to reclaim for one gang."""
+"""Choose the attempts whose borrowed accelerators to reclaim for one gang."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BorrowedUse:
-    """Hold what one attempt uses on one worker and what stopping it costs."""
+    """The accelerators one attempt borrows on one worker, and the cost to stop it."""
 
     job_id: str
     mask: int
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Block:
+class _CandidateBlock:
     cost: float
     worker: str
     mask: int
@@ -32,10 +32,10 @@
     spec: JobSpec,
     uses: Mapping[str, list[BorrowedUse]],
 ) -> list[MemberPlace] | None:
-    """Return places on free or borrowed accelerators at the least cost.
+    """Return the cheapest places on free or borrowed accelerators.
 
-    ``uses`` holds the reclaimable attempts by worker. None means that the other
-    work leaves no room.
+    ``uses`` holds the reclaimable attempts by worker. The result is None if there is
+    no room even after all of them are stopped.
     """
     if spec.adjacency == "worker" or spec.members == 1:
         return _find_single(accelerators, spec, uses)
@@ -49,7 +49,7 @@
             for rack in racks
             if accelerators.firm.count_rack_blocks(rack, level) >= spec.members
         ]
-    best: list[_Block] | None = None
+    best: list[_CandidateBlock] | None = None
     best_cost = float("inf")
     for names in groups:
         blocks = _list_blocks(accelerators, names, level, uses)
@@ -61,7 +61,7 @@
             best, best_cost = chosen, cost
     if best is None:
         return None
-    return [_place(block, 0, spec.accelerators) for block in best]
+    return [_make_place(block, 0, spec.accelerators) for block in best]
 
 
 def _find_single(accelerators, spec, uses) -> list[MemberPlace] | None:
@@ -70,12 +70,12 @@
     if not blocks:
         return None
     return [
-        _place(blocks[0], index * spec.accelerators, spec.accelerators)
+        _make_place(blocks[0], index * spec.accelerators, spec.accelerators)
         for index in range(spec.members)
     ]
 
 
-def _list_blocks(accelerators, names, level, uses) -> list[_Block]:
+def _list_blocks(accelerators, names, level, uses) -> list[_CandidateBlock]:
     size = 1 << level
     blocks = []
     for name in names:
@@ -84,16 +84,16 @@
         reclaimable = 0
         for use in uses.get(name, ()):
             reclaimable |= use.mask
-        barred = worker.held | worker.busy & ~reclaimable
+        unavailable = worker.held | worker.busy & ~reclaimable
         for start in range(0, firm_free.bit_length(), size):
             mask = make_mask(size) << start
-            if firm_free & mask == mask and not barred & mask:
+            if firm_free & mask == mask and not unavailable & mask:
                 cost = sum(use.cost for use in uses.get(name, ()) if use.mask & mask)
-                blocks.append(_Block(cost, name, mask))
+                blocks.append(_CandidateBlock(cost, name, mask))
     blocks.sort(key=lambda block: (block.cost, block.worker, block.mask))
     return blocks
 
 
-def _place(block: _Block, offset: int, accelerators: int) -> MemberPlace:
+def _make_place(block: _CandidateBlock, offset: int, accelerators: int) -> MemberPlace:
     start = (block.mask & -block.mask).bit_length() - 1 + offset
     return MemberPlace(block.worker, make_mask(accelerators) << start)
