--- a/src/larkhoist/placement/__init__.py
+++ b/src/larkhoist/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Find accelerators for jobs, with guarantees kept."""
+"""Find accelerators for jobs and check that guarantees can be met."""
--- a/src/larkhoist/placement/blocks.py
+++ b/src/larkhoist/placement/blocks.py
@@ -1,4 +1,4 @@
-"""Compute with aligned blocks of adjacent accelerators on one worker.
+"""Count and find aligned blocks of adjacent accelerators on one worker.
 
 Accelerators are bits of a mask. A block has a power-of-two size and starts at a
 multiple of it (buddy allocation), so that blocks of one size never overlap.
@@ -21,7 +21,7 @@
 
 @lru_cache(maxsize=65536)
 def count_blocks(free: int, level: int) -> int:
-    """Return how many aligned blocks of ``level`` are wholly free."""
+    """Return the number of aligned blocks of ``level`` that are entirely free."""
     size = 1 << level
     block = make_mask(size)
     count = 0
@@ -33,7 +33,7 @@
 
 @lru_cache(maxsize=65536)
 def get_largest_level(free: int) -> int:
-    """Return the level of the largest free block, or -1 where nothing is free."""
+    """Return the level of the largest free block, or -1 if none is free."""
     level = -1
     while count_blocks(free, level + 1):
         level += 1
@@ -42,10 +42,10 @@
 
 @lru_cache(maxsize=65536)
 def find_block(free: int, level: int) -> int:
-    """Return the mask of the free block that breaks up the least, or 0.
+    """Return the mask of a free block of ``level``, or 0 if there is none.
 
-    A block inside the smallest sufficient free block is taken, so that larger
-    blocks stay whole.
+    The block is taken from the smallest free block that is large enough, so that
+    larger blocks stay intact (best fit).
     """
     size = 1 << level
     best = 0
@@ -54,13 +54,13 @@
         block = make_mask(size) << start
         if free & block != block:
             continue
-        around = _get_level_around(free, start, level)
-        if around < best_level:
-            best, best_level = block, around
+        enclosing_level = _get_enclosing_level(free, start, level)
+        if enclosing_level < best_level:
+            best, best_level = block, enclosing_level
     return best
 
 
-def _get_level_around(free: int, start: int, level: int) -> int:
+def _get_enclosing_level(free: int, start: int, level: int) -> int:
     while True:
         size = 1 << (level + 1)
         block = make_mask(size) << (start // size * size)
--- a/src/larkhoist/placement/fragmentation.py
+++ b/src/larkhoist/placement/fragmentation.py
@@ -1,7 +1,7 @@
-"""Measure how much of the free accelerators lies too scattered to be used.
+"""Compute what share of the free accelerators is unusable due to fragmentation.
 
-For each expected shape the accelerators that gangs of it could fill as they lie are
-compared with those that they could fill if all the free ones lay together.
+For each expected shape of a gang, this compares how many free accelerators such gangs
+can use now with how many they could use if all free ones were adjacent.
 """
 
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedShape:
-    """Hold one shape of the expected mix and its weight."""
+    """One shape of the expected mix of jobs, and its weight."""
 
     members: int
     accelerators: int
@@ -29,14 +29,14 @@
     ExpectedShape(1, 8, "worker", 1.0),
     ExpectedShape(4, 8, "rack", 1.0),
 )
-"""The mix that both clusters expect, with equal weights."""
+"""The expected mix of jobs, with equal weights."""
 
 
 def get_fragmentation(index: FreeIndex, mix: Sequence[ExpectedShape]) -> float:
-    """Return the share of the usable accelerators lost to scatter, 0 to 1.
+    """Return the share of accelerators that fragmentation makes unusable, 0 to 1.
 
-    The shapes are weighed together. Where not even all free accelerators together
-    would hold any shape there is nothing to lose, and the result is 0.
+    The shapes count by their weights. The result is 0 if there are too few free
+    accelerators for any shape.
     """
     possible = sum(shape.weight * _count_possible(index, shape) for shape in mix)
     if possible == 0:
@@ -46,7 +46,10 @@
 
 
 def get_largest_block(index: FreeIndex, worker_size: int) -> int:
-    """Return the most adjacent free accelerators: whole workers of one rack."""
+    """Return the size of the largest free block, in accelerators.
+
+    Free workers of one rack count together as one block.
+    """
     top = get_level(worker_size)
     for level in range(top, -1, -1):
         counts = [index.count_rack_blocks(rack, level) for rack in index.iter_racks()]
--- a/src/larkhoist/placement/guarantee.py
+++ b/src/larkhoist/placement/guarantee.py
@@ -1,8 +1,8 @@
-"""Keep every unclaimed guarantee coverable by free or reclaimable cells.
+"""Check whether free or reclaimable cells cover all unused guarantees.
 
-A cell is a power-of-two block: inside a worker up to its size, above that whole
-workers of one rack. Sizes divide each other, so counting from the largest cell
-down tells exactly whether a set of cells fits.
+A cell is a power-of-two block of accelerators: part of a worker up to the worker's
+size, and above that several whole workers of one rack. Each size divides the next, so
+counting from the largest cell down tells exactly whether a set of cells fits.
 """
 
 from collections import Counter
@@ -16,7 +16,7 @@
 
 
 def count_cells(cells: Iterable[Cell]) -> Counter[int]:
-    """Return how many cells there are of each level."""
+    """Return the number of cells by level."""
     counts: Counter[int] = Counter()
     for cell in cells:
         counts[get_level(cell.accelerators)] += cell.count
@@ -24,7 +24,7 @@
 
 
 def get_needed_cells(spec: JobSpec) -> Counter[int]:
-    """Return the cells that a job claims of its customer's guarantee."""
+    """Return the cells of its customer's guarantee that a job needs, by level."""
     if spec.adjacency == "hall":
         return Counter({get_level(spec.accelerators): spec.members})
     if spec.adjacency == "rack" and spec.members > 1:
@@ -36,9 +36,9 @@
 def subtract_claims(
     guarantee: Counter[int], claims: Iterable[Counter[int]]
 ) -> Counter[int] | None:
-    """Return the cells left of a guarantee, or None where claims exceed it.
+    """Return the cells left of a guarantee, or None if the claims exceed it.
 
-    A claim takes the smallest sufficient cell and leaves the halves of it.
+    A claim splits the smallest sufficient cell; the remaining halves stay available.
     """
     left = Counter(guarantee)
     wanted: Counter[int] = Counter()
@@ -70,19 +70,21 @@
     ``index`` counts reclaimable accelerators as free.
     """
     top = get_level(worker_size)
-    whole = {rack: index.count_rack_blocks(rack, top) for rack in index.iter_racks()}
+    whole_workers = {
+        rack: index.count_rack_blocks(rack, top) for rack in index.iter_racks()
+    }
     for level in sorted((at for at in cells if at > top), reverse=True):
         needed = 1 << (level - top)
         for _ in range(cells[level]):
-            rack = max(whole, key=whole.get, default=None)
-            if rack is None or whole[rack] < needed:
+            rack = max(whole_workers, key=whole_workers.get, default=None)
+            if rack is None or whole_workers[rack] < needed:
                 return False, f"no rack has {needed} whole workers left"
-            whole[rack] -= needed
-    return _cover_in_workers(index, cells, top, sum(whole.values()))
+            whole_workers[rack] -= needed
+    return _cover_in_workers(index, cells, top, sum(whole_workers.values()))
 
 
-def _cover_in_workers(index, cells, top, whole_left) -> tuple[bool, str]:
-    available = whole_left
+def _cover_in_workers(index, cells, top, free_whole_workers) -> tuple[bool, str]:
+    available = free_whole_workers
     for level in range(top, -1, -1):
         if level < top:
             available = available * 2 + _count_single_blocks(index, level)
@@ -94,7 +96,7 @@
 
 
 def _count_single_blocks(index: FreeIndex, level: int) -> int:
-    """Return the free blocks of ``level`` that are in no larger free block."""
+    """Return the number of free blocks of ``level`` outside larger free blocks."""
     return sum(
         index.count_rack_blocks(rack, level)
         - 2 * index.count_rack_blocks(rack, level + 1)
--- a/src/larkhoist/placement/index.py
+++ b/src/larkhoist/placement/index.py
@@ -1,10 +1,9 @@
-"""Find free accelerators for gangs without looking at every worker.
+"""Find free accelerators for gangs without scanning every worker.
 
-Racks are kept in order of how many free blocks of each size they hold, and
-workers in order of their largest free block, those in racks with the fewest wholly
-free workers first, so that single tasks keep away from racks that a gang could use.
-Changes mark a rack or a worker,
-and the orders are brought up to date when the next gang is looked for.
+For each block size, racks are sorted by the number of free blocks they hold. Workers
+are grouped by their largest free block and sorted by the number of entirely free
+workers in their rack, fewest first, so that single tasks avoid racks that a gang could
+use. Changed racks and workers are marked, and sorted again at the next search.
 """
 
 from dataclasses import dataclass, field
@@ -26,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberPlace:
-    """Hold where one member of a gang goes; ``mask`` is its accelerators."""
+    """The worker and the accelerators (``mask``) for one member of a gang."""
 
     worker: str
     mask: int
@@ -34,24 +33,28 @@
 
 @dataclass(slots=True)
 class _Worker:
+    """A worker; ``indexed`` is the level and key under which it is sorted."""
+
     name: str
     rack: str
     size: int
     free: int = 0
-    listed: tuple | None = None
+    indexed: tuple | None = None
 
 
 @dataclass(slots=True)
 class _Rack:
+    """A rack; ``indexed`` holds the block counts by which it is sorted."""
+
     name: str
     workers: dict[str, _Worker] = field(default_factory=dict)
-    whole: int = 0
+    whole_workers: int = 0
     blocks: list[int] = field(default_factory=lambda: [0] * (MAX_LEVEL + 1))
-    listed: list[int] = field(default_factory=lambda: [0] * (MAX_LEVEL + 1))
+    indexed: list[int] = field(default_factory=lambda: [0] * (MAX_LEVEL + 1))
 
 
 class FreeIndex:
-    """Index the free accelerators of one data hall."""
+    """An index of the free accelerators of one data hall."""
 
     def __init__(self):
         self._workers: dict[str, _Worker] = {}
@@ -70,7 +73,7 @@
         self.set_free(name, make_mask(size))
 
     def remove_worker(self, name: str) -> None:
-        """Take a worker out of the index."""
+        """Remove a worker from the index."""
         self.set_free(name, 0)
         self._refresh()
         worker = self._workers.pop(name)
@@ -93,7 +96,7 @@
         return list(self._racks)
 
     def get_largest_size(self) -> int:
-        """Return the accelerators of the largest worker, at least 1."""
+        """Return the number of accelerators of the largest worker, at least 1."""
         return max((worker.size for worker in self._workers.values()), default=1)
 
     def set_free(self, name: str, free: int) -> None:
@@ -108,8 +111,8 @@
             rack.blocks[level] += change
         full = make_mask(worker.size)
         if (free == full) != (before == full):
-            rack.whole += 1 if free == full else -1
-            # The order of a rack's workers depends on its whole ones.
+            rack.whole_workers += 1 if free == full else -1
+            # The sort key of each worker in the rack contains this count.
             self._changed_workers.update(rack.workers)
         worker.free = free
         self.free_total += free.bit_count() - before.bit_count()
@@ -130,13 +133,13 @@
                 self.set_free(place.worker, worker.free | place.mask)
 
     def count_rack_blocks(self, rack: str, level: int) -> int:
-        """Return how many free blocks of ``level`` a rack holds."""
+        """Return the number of free blocks of ``level`` in a rack."""
         return self._racks[rack].blocks[level]
 
     def find(
         self, members: int, accelerators: int, adjacency: str
     ) -> list[MemberPlace] | None:
-        """Return a place for each member, or None where there is no room.
+        """Return a place for each member, or None if there is no room.
 
         The places are not marked as used; see ``take``.
         """
@@ -203,44 +206,44 @@
                 block = find_block(free, level)
                 if not block:
                     break
-                mask = _trim(block, accelerators)
+                mask = _trim_block(block, accelerators)
                 places.append(MemberPlace(worker.name, mask))
                 free &= ~mask
         return places
 
     def _refresh(self) -> None:
         for name in self._changed_racks:
-            self._relist_rack(self._racks[name])
+            self._update_rack_order(self._racks[name])
         for name in self._changed_workers:
-            self._relist_worker(self._workers[name])
+            self._update_worker_order(self._workers[name])
         self._changed_racks.clear()
         self._changed_workers.clear()
 
-    def _relist_rack(self, rack: _Rack) -> None:
+    def _update_rack_order(self, rack: _Rack) -> None:
         for level, count in enumerate(rack.blocks):
-            listed = rack.listed[level]
-            if listed == count:
+            indexed = rack.indexed[level]
+            if indexed == count:
                 continue
-            if listed:
-                self._rack_order[level].remove((listed, rack.name))
+            if indexed:
+                self._rack_order[level].remove((indexed, rack.name))
             if count:
                 self._rack_order[level].add((count, rack.name))
-            rack.listed[level] = count
+            rack.indexed[level] = count
 
-    def _relist_worker(self, worker: _Worker) -> None:
-        if worker.listed is not None:
-            level, key = worker.listed
+    def _update_worker_order(self, worker: _Worker) -> None:
+        if worker.indexed is not None:
+            level, key = worker.indexed
             self._worker_order[level].remove(key)
-            worker.listed = None
+            worker.indexed = None
         level = get_largest_level(worker.free)
         if level >= 0:
-            whole = self._racks[worker.rack].whole
-            key = (whole, worker.free.bit_count(), worker.rack, worker.name)
+            whole_workers = self._racks[worker.rack].whole_workers
+            key = (whole_workers, worker.free.bit_count(), worker.rack, worker.name)
             self._worker_order[level].add(key)
-            worker.listed = (level, key)
+            worker.indexed = (level, key)
 
 
-def _trim(block: int, accelerators: int) -> int:
+def _trim_block(block: int, accelerators: int) -> int:
     start = (block & -block).bit_length() - 1
     return make_mask(accelerators) << start
 
