--- a/src/larkhoist/ownership/log_tenure.py
+++ b/src/larkhoist/ownership/log_tenure.py
@@ -1,9 +1,9 @@
-"""Decide who schedules, by records on a stream that only grows.
+"""Elect the instance that schedules, by records on an append-only stream.
 
-The holder appends a renewal at short intervals, each under the condition that the
-stream still ends where it last saw it. Whoever sees no new record for a while
-appends a claim under the same condition: one of several claims wins, and the
-offset of the claim is its term, a fencing token that never comes again.
+The holder of the tenure appends a renewal at short intervals, each on the condition
+that the stream still ends where the holder last read it. An instance that sees no new
+record for some time appends a claim on the same condition, so that only one of several
+claims succeeds. The term is the claim's offset plus 1, a fencing token that is unique.
 """
 
 from dataclasses import dataclass
@@ -25,13 +25,13 @@
 
 TENURE_STREAM = "tenure"
 OWNER_KEY = "owner"
-PATIENCE_S = 0.4
-"""How much longer an instance with half a core waits; an interval of the watch, so
-that stronger ones mostly come first."""
+MAX_CLAIM_DELAY_S = 0.4
+"""The delay of a claim by an instance with half a core or less. It equals ``watch_s``,
+so that instances with more cores usually claim first."""
 
 
 class TenureRecord(msgspec.Struct, frozen=True):
-    """Claim, renew or release the tenure."""
+    """A claim, renewal or release of the tenure."""
 
     holder: str
     term: int
@@ -40,14 +40,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TenureTimes:
-    """Hold times in seconds.
-
-    ``silence_s`` covers a renewal whose answer was lost, the next one and a watch.
-    ``patience_s`` is how much longer this instance leaves a claim to others,
-    ``stale_patience_s`` how much longer yet while what it has read may be old.
-    ``predecessor_s`` bounds how long a
-    holder that is cut off from the log goes on renewing workers' leases; it is
-    longer than the platform's usual outages.
+    """Times of the tenure, in seconds.
+
+    ``watch_s`` is the interval between reads of the stream while no holder renews.
+    ``silence_s`` is how long the stream must not grow before a claim; it covers a
+    renewal whose answer was lost, the next renewal and one ``watch_s``. ``patience_s``
+    is how much longer this instance waits, so that others can claim first, and
+    ``stale_claim_delay_s`` is added while its state may be out of date.
+    ``predecessor_s`` limits how long a holder that cannot reach the log renews workers'
+    leases; it exceeds the usual outages of the platform.
     """
 
     renew_s: float = 0.3
@@ -55,29 +56,29 @@
     silence_s: float = 1.1
     predecessor_s: float = 8.0
     patience_s: float = 0.0
-    stale_patience_s: float = 1.0
+    stale_claim_delay_s: float = 1.0
 
     @property
     def first_patience_s(self) -> float:
-        """Return how long the first claim of all is left to stronger instances.
+        """Return how long to wait before a claim on an empty stream.
 
-        These start sooner, and look again at the next watch, when the operators'
-        configuration may have come.
+        Instances with more cores do not wait. They start sooner and read the stream
+        again after ``watch_s``; by then they may have the operators' configuration.
         """
         return self.patience_s and self.watch_s + self.patience_s
 
     @property
     def offer_patience_s(self) -> float:
-        """Return how long a tenure that is offered is left to stronger instances.
+        """Return how long to wait before a claim on a tenure that was released.
 
-        While a holder renews, these look once in ``silence_s``; a leaving holder goes
-        on meanwhile.
+        Instances with more cores do not wait, but while a holder renews they read the
+        stream only once in ``silence_s``. A leaving holder continues meanwhile.
         """
         return self.patience_s and self.silence_s + self.patience_s
 
 
 class Fitness(Enum):
-    """Name whether an instance may claim the tenure, or what keeps it from that."""
+    """Whether an instance may claim the tenure, or the reason why not."""
 
     FIT = "fit"
     OLD_CONFIGURATION = "its configuration may be old"
@@ -89,7 +90,7 @@
 
 
 class TenureStep(Enum):
-    """Name what an instance does next about the tenure."""
+    """Next action of an instance with regard to the tenure."""
 
     WATCH = "watch"
     CLAIM = "claim"
@@ -98,12 +99,11 @@
 
 @dataclass(slots=True)
 class TenureView:
-    """Hold what was last seen of the stream; ``changed_s`` is when it last grew.
+    """The last read state of the stream; ``changed_s`` is when it last grew.
 
-    ``watched_s`` is since when the stream could be read without a break, so that
-    an outage of the log is not taken for the holder's silence. ``inherited`` tells
-    that the holder, when first read, was an earlier incarnation of this instance,
-    which runs no more.
+    ``watched_s`` is the time since which every read has succeeded, so that an outage of
+    the log is not mistaken for a holder that no longer renews. ``inherited`` tells that
+    the holder, when first read, was an earlier run of this instance, which has ended.
     """
 
     end: int = 0
@@ -113,7 +113,7 @@
     inherited: bool = False
 
     def take(self, end: int, newest: TenureRecord | None, now_s: float) -> None:
-        """Take the result of one read."""
+        """Apply the result of a read."""
         self.watched_s = min(self.watched_s, now_s)
         if end != self.end:
             self.changed_s = now_s
@@ -123,21 +123,24 @@
             self.newest = newest
 
     def note_failed_read(self) -> None:
-        """Note that the stream could not be read."""
+        """Record that the stream could not be read."""
         self.watched_s = float("inf")
 
     @property
     def holder(self) -> str:
-        """Return who wrote the newest record, empty where none was seen."""
+        """Return the instance that wrote the newest record, empty if there is none."""
         return self.newest.holder if self.newest is not None else ""
 
     @property
     def is_read(self) -> bool:
-        """Tell whether the last read of the stream was answered."""
+        """Tell whether the last read of the stream succeeded."""
         return self.watched_s < float("inf")
 
     def get_vacant_s(self, now_s: float) -> float:
-        """Return for how long nobody was seen to claim or renew."""
+        """Return the seconds since the stream last grew.
+
+        For an empty stream, these count from when it could be read.
+        """
         if self.newest is None:
             return max(0.0, now_s - self.watched_s)
         return now_s - self.changed_s
@@ -146,7 +149,7 @@
 def decide_step(
     view: TenureView, term: int, fitness: Fitness, times: TenureTimes, now_s: float
 ) -> TenureStep:
-    """Decide what to do next; ``term`` is 0 for an instance that does not hold."""
+    """Return the next action; ``term`` is 0 if this instance is not the holder."""
     if term:
         return TenureStep.RENEW
     match fitness:
@@ -155,25 +158,26 @@
         case Fitness.FIT:
             is_due = view.inherited or _is_due(view, times, now_s)
         case _:
-            # A take-over reads jobs and workers anyway. Who isn't fresh leaves the
-            # claim to others for longer, and not for good: none of them may be.
-            is_due = _is_due(view, times, now_s - times.stale_patience_s)
+            # Out-of-date state delays a claim but does not forbid it: a take-over reads
+            # jobs and workers anyway, and there may be no instance that is up to date.
+            is_due = _is_due(view, times, now_s - times.stale_claim_delay_s)
     return TenureStep.CLAIM if is_due else TenureStep.WATCH
 
 
 def _is_due(view: TenureView, times: TenureTimes, now_s: float) -> bool:
-    """Tell whether the tenure has been free for as long as others come first."""
+    """Tell whether the tenure has been vacant long enough for a claim."""
     if view.newest is None:
         return now_s - view.watched_s >= times.first_patience_s
     if view.newest.released:
         return now_s - view.changed_s >= times.offer_patience_s
-    quiet_since_s = max(view.changed_s, view.watched_s)
-    return now_s - quiet_since_s > times.silence_s + times.patience_s
+    unchanged_since_s = max(view.changed_s, view.watched_s)
+    return now_s - unchanged_since_s > times.silence_s + times.patience_s
 
 
 def get_claim_patience_s(cores: float) -> float:
-    """Return how long an instance with ``cores`` leaves a claim to stronger ones.
+    """Return how long an instance with ``cores`` CPU cores delays a claim.
 
-    The holder does most of the work; with one core or more there is no wait.
+    The holder does most of the work, so instances with more cores should claim first;
+    with one core or more there is no delay.
     """
-    return PATIENCE_S * max(0.0, min(1.0, 1 / cores - 1))
+    return MAX_CLAIM_DELAY_S * max(0.0, min(1.0, 1 / cores - 1))
--- a/src/larkhoist/ownership/order.py
+++ b/src/larkhoist/ownership/order.py
@@ -1,8 +1,8 @@
 """Order the instances of a data hall by rendezvous hashing.
 
 Every instance computes the same order from the same names; the first live one is
-preferred as owner. The order only decides who tries first: safety comes from the
-leases at the workers.
+preferred as owner. The order only decides which instance tries first. That there is
+only one owner is ensured by the leases at the workers.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 def order_instances(key: str, names: Iterable[str]) -> list[str]:
-    """Return ``names`` in the order of preference for ``key``."""
+    """Return ``names`` in order of preference for ``key``, the best first."""
     return sorted(names, key=lambda name: _get_score(key, name), reverse=True)
 
 
--- a/src/larkhoist/ownership/roster.py
+++ b/src/larkhoist/ownership/roster.py
@@ -1,4 +1,4 @@
-"""Bring a scheduler's workers in line with the list and with the leases."""
+"""Update a scheduler's workers from the platform's list and the leases."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedWorker:
-    """Hold what the platform's list says of a worker."""
+    """The entry of a worker in the platform's list."""
 
     rack: str
     accelerators: int
@@ -25,10 +25,10 @@
     listed: Mapping[str, ListedWorker],
     now_s: float,
 ) -> None:
-    """Add, remove and open workers as the list and the tenure say.
+    """Add, remove, enable and disable workers to match the list and the leases.
 
-    A worker that has left the list may still run tasks: until it must have
-    stopped them, its members count as running.
+    A worker that has left the list may still run tasks. It is removed only when it must
+    have stopped them; until then the members on it count as running.
     """
     known = scheduler.accelerators.workers
     for name in known.keys() - listed.keys():
@@ -47,9 +47,10 @@
 def recover_jobs(
     scheduler: HallScheduler, tenure: Tenure, log_current: bool, now_s: float
 ) -> list[Effect]:
-    """Take over what runs once every worker has reported or must be idle.
+    """Take over running jobs once every worker has reported or must be idle.
 
-    A worker is held only by an answer to this tenure, which brings its report.
+    A lease is granted in an answer that also holds the worker's report, so every
+    worker whose lease is held has reported in this tenure.
     """
     if not scheduler.has_recovering() or not tenure.is_settled(now_s):
         return []
--- a/src/larkhoist/ownership/tenure.py
+++ b/src/larkhoist/ownership/tenure.py
@@ -1,9 +1,10 @@
 """Decide whether this instance owns its data hall, worker by worker.
 
-An owner holds a lease with an epoch at each worker. It acts on a worker only
-while its own count of that lease, started before the request left, has not run
-out. It keeps its tenure only with the leases of a majority of the hall's workers,
-so that of two candidates that are cut off from each other at most one goes on.
+An owner holds a lease with an epoch at each worker. It commands a worker only until
+the lease expires by its own clock, counted from before the request was sent. To
+become owner an instance needs the leases of a majority of the hall's workers, and to
+remain owner at least half of them, so that of two candidates that cannot reach each
+other at most one owns the hall.
 """
 
 from dataclasses import dataclass, field
@@ -13,17 +14,17 @@
 
 __all__ = ["LeaseTerms", "Tenure", "WorkerLease", "WorkerLink"]
 
-
-KEEP_UNLISTED_S = 60.0
+# How long an unlisted worker is still tracked after it must be idle.
+UNLISTED_RETENTION_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """Hold the times of leases, in seconds.
+    """Times of leases, in seconds.
 
-    ``task_term_s`` is how long tasks outlive the last renewal; it exceeds
-    ``term_s`` by the time that a new owner needs to take over. A worker that is
-    silent for ``lost_after_s`` is given up: its tasks are not renewed any more.
+    A worker stops its tasks ``task_term_s`` after the last renewal; this exceeds
+    ``term_s`` by the time that a new owner needs to take over. A worker that has not
+    answered for ``lost_after_s`` is given up: its tasks are no longer renewed.
     """
 
     term_s: float = 3.0
@@ -34,7 +35,7 @@
 
 
 class WorkerLink(Enum):
-    """Name what this instance knows of one worker's lease."""
+    """State of one worker's lease, as far as this instance can tell."""
 
     UNKNOWN = "unknown"
     HELD = "held"
@@ -44,12 +45,12 @@
 
 @dataclass(slots=True)
 class WorkerLease:
-    """Hold one worker's lease as this instance counts it.
+    """One worker's lease, by the clock of this instance.
 
-    ``epoch`` rises above the tenure's where the worker has seen a higher one or
-    has let our own lease lapse. ``renewing_s`` is when the last request left that,
-    granted or not heard of, lets the worker's tasks go on. ``tasks`` is the report
-    that came with the last grant in this tenure.
+    ``epoch`` exceeds the tenure's if the worker has seen a higher one or this
+    instance's lease has expired there. ``renewing_s`` is when the last request was sent
+    that may have prolonged the worker's tasks, whether or not an answer arrived.
+    ``tasks`` is the report that came with the last grant in this tenure.
     """
 
     epoch: int
@@ -62,10 +63,10 @@
 
 @dataclass(slots=True)
 class Tenure:
-    """Hold this instance's claim to own its data hall.
+    """The ownership of a data hall by this instance, or its attempt to gain it.
 
-    ``instance`` names one incarnation, so that a restarted instance never takes
-    the leases of its predecessor for its own.
+    ``instance`` identifies one run of the process, so that a restarted instance never
+    mistakes the leases of its earlier run for its own.
     """
 
     instance: str
@@ -74,14 +75,14 @@
     seen_epoch: int = 0
     workers: dict[str, WorkerLease] = field(default_factory=dict)
     majority_since_s: float | None = None
-    tried_since_s: float | None = None
+    candidate_since_s: float | None = None
     unlisted: dict[str, float] = field(default_factory=dict)
 
     def set_workers(self, names: set[str], now_s: float) -> None:
-        """Take over the list of the hall's workers.
+        """Replace the list of the hall's workers.
 
-        One that has left the list is not renewed any more and does not count for
-        the majority; its last renewal left before ``now_s``.
+        A worker that has left the list is no longer renewed and does not count for the
+        majority; its last renewal was sent before ``now_s``.
         """
         for name in names - self.workers.keys():
             renewing_s = self.unlisted.pop(name, None)
@@ -94,35 +95,35 @@
         """Start a tenure with an epoch above every epoch seen."""
         self.epoch = max(self.seen_epoch, self.epoch) + 1
         self.majority_since_s = None
-        self.tried_since_s = now_s
+        self.candidate_since_s = now_s
         self.workers = {name: WorkerLease(self.epoch) for name in self.workers}
 
     def end(self) -> None:
-        """Stop trying; leases that are held run out by themselves."""
+        """Give up ownership or the attempt to gain it; held leases simply expire."""
         self.majority_since_s = None
-        self.tried_since_s = None
+        self.candidate_since_s = None
 
     @property
     def is_trying(self) -> bool:
-        """Tell whether leases are to be asked for and renewed."""
-        return self.tried_since_s is not None
+        """Tell whether leases are to be requested and renewed."""
+        return self.candidate_since_s is not None
 
     def must_yield(self, now_s: float) -> bool:
-        """Tell whether a try has failed and must end, so that others get through.
+        """Tell whether this instance got no majority in time and must let others try.
 
-        Another owner's leases may take a whole term to lapse.
+        The limit allows for a whole term until another owner's leases have expired.
         """
-        if self.tried_since_s is None or self.has_majority:
+        if self.candidate_since_s is None or self.has_majority:
             return False
         late_s = self.terms.term_s * 2 + self.terms.renew_s
-        return now_s - self.tried_since_s > late_s
+        return now_s - self.candidate_since_s > late_s
 
     def get_epoch(self, name: str) -> int:
-        """Return the epoch under which to speak to a worker."""
+        """Return the epoch to use in requests to a worker."""
         return self.workers[name].epoch
 
     def get_task_term(self, name: str, now_s: float) -> float:
-        """Return the task term to ask of a worker, 0 where it was given up."""
+        """Return the task term to request from a worker, 0 if it was given up."""
         lease = self.workers[name]
         if lease.answered_s is None:
             return self.terms.task_term_s
@@ -131,12 +132,12 @@
         return self.terms.task_term_s
 
     def note_sent(self, name: str, sent_s: float, task_term_s: float) -> None:
-        """Note that a lease request leaves."""
+        """Record that a lease request is sent."""
         if task_term_s > 0:
             self.workers[name].renewing_s = sent_s
 
     def note_reply(self, name: str, sent_s: float, reply: LeaseReply) -> None:
-        """Take a worker's answer; ``sent_s`` is when the request left."""
+        """Apply a worker's answer to a request that was sent at ``sent_s``."""
         self.seen_epoch = max(self.seen_epoch, reply.epoch)
         lease = self.workers.get(name)
         if lease is None:
@@ -151,7 +152,7 @@
             lease.epoch = max(lease.epoch, reply.epoch + 1)
 
     def note_silence(self, name: str) -> None:
-        """Note that a worker did not answer."""
+        """Record that a worker did not answer."""
         lease = self.workers.get(name)
         if lease is not None and lease.link is not WorkerLink.HELD:
             lease.link = WorkerLink.UNREACHABLE
@@ -166,22 +167,22 @@
         )
 
     def update(self, now_s: float) -> None:
-        """Bring lapsed leases, unlisted workers and the majority up to ``now_s``."""
+        """Update expired leases, unlisted workers and the majority to ``now_s``."""
         for name in list(self.unlisted):
-            if self.is_surely_idle(name, now_s - KEEP_UNLISTED_S):
+            if self.is_surely_idle(name, now_s - UNLISTED_RETENTION_S):
                 del self.unlisted[name]
         for name, lease in self.workers.items():
             if lease.link is WorkerLink.HELD and not self.holds(name, now_s):
                 lease.link = WorkerLink.UNREACHABLE
         held = sum(self.holds(name, now_s) for name in self.workers)
-        if held * 2 <= len(self.workers) and not self._keeps_half(held):
+        if held * 2 <= len(self.workers) and not self._continues_with_half(held):
             self.majority_since_s = None
         elif self.majority_since_s is None:
             self.majority_since_s = now_s
 
-    def _keeps_half(self, held: int) -> bool:
-        # Half is enough to go on but not to begin, so that two halves of a
-        # hall never have an owner each.
+    def _continues_with_half(self, held: int) -> bool:
+        # Half of the leases is enough to remain owner but not to become one, so that
+        # the two halves of a hall never have an owner each.
         owned = self.majority_since_s is not None
         return owned and held > 0 and held * 2 == len(self.workers)
 
@@ -191,10 +192,10 @@
         return self.majority_since_s is not None
 
     def is_surely_idle(self, name: str, now_s: float) -> bool:
-        """Tell whether a worker out of reach must have stopped all its tasks.
+        """Tell whether an unreachable worker must have stopped all its tasks.
 
-        The owner before may have renewed it until it lost its own majority,
-        which was before this instance had one.
+        The previous owner may have renewed the worker until it lost its majority, which
+        was before this instance gained one.
         """
         if self.majority_since_s is None:
             return False
@@ -203,16 +204,16 @@
         last_s = self.majority_since_s
         if renewing_s is not None:
             last_s = max(last_s, renewing_s)
-        return now_s > last_s + self.terms.term_s + self.get_idle_wait()
+        return now_s > last_s + self.terms.term_s + self.get_idle_delay_s()
 
-    def get_idle_wait(self) -> float:
-        """Return the seconds after a lease's end until its tasks are stopped."""
+    def get_idle_delay_s(self) -> float:
+        """Return the seconds from the end of a lease until its tasks have stopped."""
         return self.terms.task_term_s + self.terms.margin_s
 
     def is_settled(self, now_s: float) -> bool:
         """Tell whether every worker is held or must have stopped its tasks.
 
-        Only then does the owner know all that runs in the hall.
+        Only then has the owner a complete view of what runs in the hall.
         """
         return self.has_majority and all(
             self.is_known(name, now_s) for name in (*self.workers, *self.unlisted)
@@ -223,7 +224,7 @@
         return self.holds(name, now_s) or self.is_surely_idle(name, now_s)
 
     def get_reports(self) -> dict[str, tuple[TaskReport, ...]]:
-        """Return what each worker reported last in this tenure."""
-        # Also what was given before the majority counts: no earlier owner can
-        # command a worker once it has granted the lease to this one.
+        """Return the last report of each worker in this tenure."""
+        # Reports from before the majority count too: once a worker has granted its
+        # lease to this instance, no earlier owner can command it.
         return {name: lease.tasks for name, lease in self.workers.items()}
