--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -1,4 +1,4 @@
-"""Check single decisions of the hall scheduler on stand-in workers."""
+"""Check individual decisions of the hall scheduler with simulated workers."""
 
 from unittest.mock import patch
 
@@ -10,7 +10,7 @@
 from larkhoist.scheduling.queue_order import get_queue_key
 from tests.promises.hall_machine import HALL, HallMachine
 
-LONG = "run_s=1000"
+LONG_RUN = "run_s=1000"
 
 
 def make_machine(workers, **policy):
@@ -26,11 +26,11 @@
 
 def test_urgent_job_leaves_other_urgent_work_and_takes_what_is_borrowed():
     machine = make_machine(2)
-    machine.submit(JobSpec("first", "c", 1, 8, urgent=True, payload=LONG))
+    machine.submit(JobSpec("first", "c", 1, 8, urgent=True, payload=LONG_RUN))
     machine.run(2.0)
-    machine.submit(JobSpec("borrowed", "c", 1, 8, payload=LONG))
+    machine.submit(JobSpec("borrowed", "c", 1, 8, payload=LONG_RUN))
     machine.run(2.0)
-    machine.submit(JobSpec("second", "c", 1, 8, urgent=True, payload=LONG))
+    machine.submit(JobSpec("second", "c", 1, 8, urgent=True, payload=LONG_RUN))
     machine.run(6.0)
     assert get_state(machine, "first") is JobState.PLACED
     assert get_state(machine, "second") is JobState.PLACED
@@ -50,7 +50,7 @@
     cells = (Cell(8, 2),)
     machine.put_customer(CustomerSpec("g", 1, (Guarantee(HALL, cells),)))
     for number in range(32):
-        machine.submit(JobSpec(f"fill-{number}", "b", 1, 1, "worker", payload=LONG))
+        machine.submit(JobSpec(f"fill-{number}", "b", 1, 1, "worker", payload=LONG_RUN))
     machine.run(3.0)
     for name in ("one", "two"):
         machine.submit(JobSpec(name, "g", 1, 8, "worker", guaranteed=True))
@@ -77,7 +77,7 @@
 def test_wave_of_cancellations_ends_every_job_and_frees_everything():
     machine = make_machine(2)
     for number in range(40):
-        machine.submit(JobSpec(f"j{number}", "b", 1, 1, "worker", payload=LONG))
+        machine.submit(JobSpec(f"j{number}", "b", 1, 1, "worker", payload=LONG_RUN))
     machine.run(3.0)
     for number in range(40):
         machine.cancel(f"j{number}")
--- a/tests/test_hall_owner.py
+++ b/tests/test_hall_owner.py
@@ -1,10 +1,10 @@
-"""Check that a hall owner takes over what the workers' reports tell of.
+"""Check that a new hall owner takes over the gangs in the workers' reports.
 
-An owner died while a gang ran on two workers. Its successor got the leases of both in
-one round of answers, each with a report of the running gang. The successor had no
-scheduler yet and dropped these reports; with the leases it held every worker, took the
-hall as known, found no report of the gang and took it as gone: a repeatable gang was
-placed anew while its first attempt ran, another one was ended as lost while it ran.
+The failure: an owner dies while a gang runs on two workers. The same round of answers
+brings its successor both leases and the reports of the gang. If the successor drops
+these reports because it has no scheduler yet, it holds every lease, considers the
+tenure settled and treats the gang as gone: a repeatable gang is placed again while its
+first attempt runs, and any other gang is ended as lost while it runs.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class RecordingLink:
-    """Stand for a link to a worker; keep what is sent."""
+    """A link to a worker that records the commands sent."""
 
     def __init__(self):
         self.sent = []
@@ -41,7 +41,7 @@
 
 
 class RecordingWriter:
-    """Keep what would be appended."""
+    """A log writer that records what would be appended."""
 
     def __init__(self):
         self.records = []
@@ -51,7 +51,7 @@
 
 
 class LogFollower:
-    """Stand for a log that is read to its end at once, or does not answer yet."""
+    """A log follower that is up to date at once, or not at all."""
 
     def __init__(self, current):
         self.current = current
@@ -60,8 +60,8 @@
         return self.current
 
 
-def read_job(keeper, repeatable, state=JobState.PLACED):
-    """Let the log's state come to tell of the gang."""
+def add_job_to_state(keeper, repeatable, state=JobState.PLACED):
+    """Add the gang to the state read from the log."""
     job = JobSpec("job", "ann", members=2, accelerators=8, repeatable=repeatable)
     workers = NAMES if state is JobState.PLACED else ()
     keeper.state.next_offset += 5
@@ -69,14 +69,14 @@
 
 
 def make_owner(repeatable, log_current, writer):
-    """Return an owner that tries for a hall where the log has a running gang."""
+    """Return a candidate owner of a hall in which the log has a running gang."""
     keeper = StateKeeper(10)
-    read_job(keeper, repeatable)
-    return make_owner_on(keeper, LogFollower(log_current), writer)
+    add_job_to_state(keeper, repeatable)
+    return make_owner_with_state(keeper, LogFollower(log_current), writer)
 
 
-def make_owner_on(keeper, follower, writer):
-    """Return an owner that tries for a hall by this state of the log."""
+def make_owner_with_state(keeper, follower, writer):
+    """Return a candidate owner of a hall with this state of the log."""
     owner = HallOwner(
         "i0/1",
         "h",
@@ -128,7 +128,7 @@
 
 
 async def test_a_gang_that_no_worker_reports_is_placed_anew():
-    # The other way round: both workers answered under this tenure and run nothing.
+    # The opposite case: both workers answer in this tenure and run nothing.
     writer = RecordingWriter()
     owner = make_owner(True, False, writer)
     now_s = asyncio.get_running_loop().time()
@@ -141,8 +141,8 @@
 
 
 async def test_a_report_given_before_the_majority_counts_as_long_as_the_lease():
-    # One worker's answer comes a second before the other one's: half of the leases
-    # is no majority, and the answer that brings it finds the first report in force.
+    # One worker answers a second before the other. Half of the leases is no majority;
+    # when the second answer completes it, the first report must still count.
     writer = RecordingWriter()
     owner = make_owner(True, False, writer)
     now_s = asyncio.get_running_loop().time()
@@ -162,20 +162,20 @@
     [
         (True, JobState.PLACED),
         (False, JobState.PLACED),
-        # What is repeatable starts before the log has it as placed.
+        # A repeatable job starts before the log says that it was placed.
         (True, JobState.CLAIMED),
     ],
 )
 async def test_a_gang_that_the_log_tells_of_after_the_majority_runs_on(
     repeatable, state
 ):
-    # The successor's reading of the log was behind when it got the hall. The log told
-    # of the job a little later; the successor took it as one that had never run, and
-    # prepared the same attempt again while it ran.
+    # The successor has not yet read the job from the log when it gains the majority.
+    # If it treats the job as one that has never run when the log brings it later, it
+    # prepares the same attempt again while that runs.
     writer = RecordingWriter()
     keeper = StateKeeper(10)
     follower = LogFollower(False)
-    owner = make_owner_on(keeper, follower, writer)
+    owner = make_owner_with_state(keeper, follower, writer)
     links = list(owner._links.values())
     now_s = asyncio.get_running_loop().time()
     owner.tenure.begin(now_s)
@@ -186,7 +186,7 @@
         await owner._tick(now_s)
         await asyncio.sleep(0.01)
         now_s += 1.1
-    read_job(keeper, repeatable, state)
+    add_job_to_state(keeper, repeatable, state)
     follower.current = True
     for index, name in enumerate(NAMES):
         task = TaskReport("job", 1, index, TaskState.RUNNING, 255, 1.0)
@@ -203,10 +203,10 @@
 
 
 async def test_a_job_that_comes_once_the_log_was_read_is_placed_at_once():
-    # The other way round: what comes after the end of the log as it was in this tenure
-    # can't have run under an earlier owner.
+    # The opposite case: a job that is added to the log after it was read to its end in
+    # this tenure cannot have run under an earlier owner.
     keeper = StateKeeper(10)
-    owner = make_owner_on(keeper, LogFollower(True), RecordingWriter())
+    owner = make_owner_with_state(keeper, LogFollower(True), RecordingWriter())
     links = list(owner._links.values())
     now_s = asyncio.get_running_loop().time()
     owner.tenure.begin(now_s)
@@ -216,7 +216,7 @@
         await owner._tick(now_s)
         await asyncio.sleep(0.01)
         now_s += 0.1
-    read_job(keeper, False, JobState.CLAIMED)
+    add_job_to_state(keeper, False, JobState.CLAIMED)
     await owner._tick(now_s)
     await owner.close()
     assert [c.verb for link in links for c in link.sent] == [Verb.PREPARE] * 2
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Check tenures, candidacy, readiness and group commit on a passed clock."""
+"""Check tenures, candidacy, readiness and group commit at given times."""
 
 from larkhoist.log.commit import AppendBudget, CommitQueue
 from larkhoist.log.records import JobCancelled
@@ -149,8 +149,8 @@
 
 
 def test_a_report_counts_in_its_own_tenure_alone():
-    # A report is proof of what runs only until another owner may have commanded the
-    # worker: the next tenure starts without any.
+    # Between two tenures another owner may have commanded the worker, so the next
+    # tenure starts without reports.
     tenure = make_tenure()
     task = TaskReport("job", 1, 0, TaskState.RUNNING, 1)
     reply = LeaseReply(True, "me", tenure.get_epoch("w0"), 3.0, (task,))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Check the placement index, guarantees, quarantine and learned run times."""
+"""Check the placement index, guarantees, quarantine and predicted run times."""
 
 import random
 from collections import Counter
@@ -31,7 +31,7 @@
 
 
 def test_smallest_sufficient_block_is_broken():
-    # A free half and a free pair: a pair is taken from the pair.
+    # A free block of 4 and one of 2: the block of 2 is taken.
     assert find_block(0b11110011, 1) == 0b11
     assert count_blocks(0b11110011, 2) == 1
 
