--- a/src/larkhoist/ownership/log_tenure.py
+++ b/src/larkhoist/ownership/log_tenure.py
@@ -68,7 +68,7 @@
         return self.patience_s and self.watch_s + self.patience_s
 
     @property
-    def offer_patience_s(self) -> float:
+    def released_claim_delay_s(self) -> float:
         """Return how long to wait before a claim on a tenure that was released.
 
         Instances with more cores do not wait, but while a holder renews they read the
@@ -169,7 +169,7 @@
     if view.newest is None:
         return now_s - view.watched_s >= times.first_patience_s
     if view.newest.released:
-        return now_s - view.changed_s >= times.offer_patience_s
+        return now_s - view.changed_s >= times.released_claim_delay_s
     unchanged_since_s = max(view.changed_s, view.watched_s)
     return now_s - unchanged_since_s > times.silence_s + times.patience_s
 
--- a/src/larkhoist/placement/fragmentation.py
+++ b/src/larkhoist/placement/fragmentation.py
@@ -29,7 +29,7 @@
     ExpectedShape(1, 8, "worker", 1.0),
     ExpectedShape(4, 8, "rack", 1.0),
 )
-"""The expected mix of jobs, with equal weights."""
+"""The mix of jobs expected on the target clusters, with equal weights."""
 
 
 def get_fragmentation(index: FreeIndex, mix: Sequence[ExpectedShape]) -> float:
