--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the decisions against plain baselines, and what they cost."""
+"""Compare scheduling decisions with simple baselines and measure their cost."""
--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -1,4 +1,4 @@
-"""Print every figure; ``--only`` picks one part."""
+"""Print all measurements; ``--only`` selects one part."""
 
 import argparse
 
--- a/measure/claims.py
+++ b/measure/claims.py
@@ -1,4 +1,4 @@
-"""Print what decisions cost when urgent gangs claim room on full workers."""
+"""Print how long decisions take while urgent gangs claim room on full workers."""
 
 import random
 import time
@@ -13,29 +13,34 @@
 
 WORKER_COUNTS = (24, 88, 270, 832)
 CASES = ((30, 0), (30, 200), (100, 200))
-"""How many urgent gangs come at once, and how many other steps wait beside them."""
-ROOM = Resources(32_000, 65_536, 8)
-PER_RACK = 20
+"""Pairs: urgent gangs that arrive at once, other steps already waiting."""
+WORKER_RESOURCES = Resources(32_000, 65_536, 8)
+WORKERS_PER_RACK = 20
 FILLER_TASKS = 40
 SEED = 1
 
 
 def print_claims() -> None:
-    """Print milliseconds for the longest decision, and for all until each claimed."""
+    """Print the longest decision, and the sum until all gangs have claimed, in ms."""
     print("urgent gangs come, all workers full: longest decision / all of them, ms")
-    header = "".join(f"{f'{gangs} gangs, {rest} wait':>22}" for gangs, rest in CASES)
+    header = "".join(
+        f"{f'{gangs} gangs, {waiting} wait':>22}" for gangs, waiting in CASES
+    )
     print(f"  {'workers':>7}{header}")
     for workers in WORKER_COUNTS:
         row = f"  {workers:>7}"
-        for gangs, rest in CASES:
-            took = measure_claims(workers, gangs, rest)
-            row += f"{f'{max(took) * 1000:.0f} / {sum(took) * 1000:.0f}':>22}"
+        for gangs, waiting in CASES:
+            times_s = measure_claims(workers, gangs, waiting)
+            row += f"{f'{max(times_s) * 1000:.0f} / {sum(times_s) * 1000:.0f}':>22}"
         print(row)
 
 
 def measure_claims(workers: int, gangs: int, others: int) -> list[float]:
-    """Return the seconds of each decision until every gang has claimed room."""
-    chance = random.Random(SEED)
+    """Return the seconds that each decision takes until every gang has claimed room.
+
+    ``others`` steps of lower priority are waiting before the gangs arrive.
+    """
+    rng = random.Random(SEED)
     scheduler = create_fleet_scheduler(FleetPolicy(), 0.0)
     scheduler.take_list([_make_worker(number) for number in range(workers)], 0.0)
     for name in list(scheduler.state.workers):
@@ -46,17 +51,17 @@
     number = workers
     for _ in range(others):
         number += 1
-        _add(scheduler, number, _draw_step(chance, gang=chance.random() < 0.5), 1)
+        _add(scheduler, number, _draw_step(rng, gang=rng.random() < 0.5), 1)
     scheduler.decide(1.0, 0)
     for _ in range(gangs):
         number += 1
-        _add(scheduler, number, _draw_step(chance, gang=True), 0)
-    took = []
-    while not took or scheduler.has_more:
+        _add(scheduler, number, _draw_step(rng, gang=True), 0)
+    durations_s = []
+    while not durations_s or scheduler.has_more:
         began_s = time.perf_counter()
         scheduler.decide(2.0, 0)
-        took.append(time.perf_counter() - began_s)
-    return took
+        durations_s.append(time.perf_counter() - began_s)
+    return durations_s
 
 
 def _fill(scheduler: FleetScheduler, workers: int) -> None:
@@ -74,12 +79,12 @@
     scheduler.add_job(BookEntry(job), 0.0, 0)
 
 
-def _draw_step(chance: random.Random, *, gang: bool) -> StepSpec:
+def _draw_step(rng: random.Random, *, gang: bool) -> StepSpec:
     return StepSpec(
-        count=chance.randint(2, 16),
+        count=rng.randint(2, 16),
         cpu_milli=3700,
         memory_mb=5000,
-        accelerators=chance.choice((1, 2, 4, 8)),
+        accelerators=rng.choice((1, 2, 4, 8)),
         estimate_ms=2500,
         gang=gang,
         same_rack=gang,
@@ -87,9 +92,9 @@
 
 
 def _make_worker(number: int) -> ListedTaskWorker:
-    rack = f"r{number // PER_RACK}"
+    rack = f"r{number // WORKERS_PER_RACK}"
     labels = frozenset(("a", rack))
     name = f"w{number}"
     return ListedTaskWorker(
-        name, "service", name, "hall", rack, labels, ROOM, False, None, 0
+        name, "service", name, "hall", rack, labels, WORKER_RESOURCES, False, None, 0
     )
--- a/measure/control.py
+++ b/measure/control.py
@@ -1,4 +1,7 @@
-"""Print what an idle instance spends on control, by workers and by instances."""
+"""Print the processor time and memory of an idle instance's control loop.
+
+The number of workers and the number of instances are varied in turn.
+"""
 
 import asyncio
 import time
@@ -14,7 +17,7 @@
 
 
 def print_control() -> None:
-    """Print processor share and memory for several sizes."""
+    """Print the share of a core and the peak memory for several sizes."""
     asyncio.run(_measure())
 
 
--- a/measure/costs.py
+++ b/measure/costs.py
@@ -1,4 +1,4 @@
-"""Print what decisions cost at several sizes, so that a slope can be read."""
+"""Print the time and memory costs of core operations at increasing sizes."""
 
 import gc
 import random
@@ -33,7 +33,7 @@
 
 __all__ = ["print_costs"]
 
-PER_RACK = 8
+WORKERS_PER_RACK = 8
 ACCELERATORS = 8
 ACCELERATOR_COUNTS = (1_024, 4_096, 16_384, 34_000)
 UPSTREAM_COUNTS = (24, 240, 1_200, 2_400)
@@ -41,28 +41,28 @@
 ROUNDS = 30
 
 
-def time_median(act: Callable[[], object], rounds: int = ROUNDS) -> float:
+def time_median(call: Callable[[], object], rounds: int = ROUNDS) -> float:
     """Return the median seconds of one call."""
-    taken = []
+    durations_s = []
     for _ in range(rounds):
         began_s = time.perf_counter()
-        act()
-        taken.append(time.perf_counter() - began_s)
-    return sorted(taken)[rounds // 2]
+        call()
+        durations_s.append(time.perf_counter() - began_s)
+    return sorted(durations_s)[rounds // 2]
 
 
 def measure_memory(make: Callable[[], object]) -> tuple[object, int]:
-    """Return what ``make`` returns and the bytes that it holds."""
+    """Return the result of ``make`` and the bytes still allocated after the call."""
     gc.collect()
     tracemalloc.start()
-    made = make()
-    held, _ = tracemalloc.get_traced_memory()
+    result = make()
+    held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return made, held
+    return result, held_bytes
 
 
 def print_costs() -> None:
-    """Print every cost."""
+    """Print the cost tables of all operations."""
     _print_placement()
     _print_routing()
     _print_fold()
@@ -74,8 +74,8 @@
     index = FreeIndex()
     for number in range(accelerators // ACCELERATORS):
         name = f"w{number}"
-        index.add_worker(name, f"r{number // PER_RACK}", ACCELERATORS)
-        # Half of the workers are whole, the others hold single tasks.
+        index.add_worker(name, f"r{number // WORKERS_PER_RACK}", ACCELERATORS)
+        # About half of the workers are free; the others have random free accelerators.
         if rng.random() < 0.5:
             index.set_free(name, rng.getrandbits(ACCELERATORS))
     return index
@@ -100,14 +100,14 @@
             if place() is None:
                 cells.append("no room")
                 continue
-            taken = []
+            durations_s = []
             for _ in range(ROUNDS):
                 began_s = time.perf_counter()
                 places = place()
-                taken.append(time.perf_counter() - began_s)
+                durations_s.append(time.perf_counter() - began_s)
                 if places is not None:
                     index.give_back(places)
-            cells.append(f"{sorted(taken)[ROUNDS // 2] * 1e6:.0f}")
+            cells.append(f"{sorted(durations_s)[ROUNDS // 2] * 1e6:.0f}")
         print(f"  {count:>12} " + " ".join(f"{cell:>14}" for cell in cells))
 
 
@@ -130,7 +130,10 @@
 
 
 def _make_batches(count: int) -> list[bytes]:
-    """Return batches of 20 records in the mix of a day at the target size."""
+    """Return batches in the record mix of a day at the target size.
+
+    A batch counts as 20 records; a plan's proposal and its confirmation count as one.
+    """
     batches = []
     for number in range(count // 20):
         records = []
@@ -167,7 +170,7 @@
         began_s = time.perf_counter()
         _fold_all(batches)
         fold_s = time.perf_counter() - began_s
-        state, held = measure_memory(lambda batches=batches: _fold_all(batches))
+        state, held_bytes = measure_memory(lambda batches=batches: _fold_all(batches))
         parts: list[bytes] = []
         split_s = time_median(lambda s=state: split_state(s, 256 * 1024), 3)
         parts = split_state(state, 256 * 1024)
@@ -181,7 +184,7 @@
         size = sum(map(len, batches))
         print(
             f"  {count:>8} {fold_s / count * 1e6:>14.1f} {size / count:>12.0f} "
-            f"{held / count:>13.0f} {split_s * 1e3:>11.1f} {load_s * 1e3:>8.1f} "
+            f"{held_bytes / count:>13.0f} {split_s * 1e3:>11.1f} {load_s * 1e3:>8.1f} "
             f"{sum(map(len, parts)) / 1024:>7.0f}"
         )
 
@@ -189,7 +192,9 @@
 def _make_hall(workers: int, jobs: int, members: int):
     scheduler = create_hall_scheduler("hall", SchedulingPolicy())
     for number in range(workers):
-        scheduler.add_worker(f"w{number}", f"r{number // PER_RACK}", ACCELERATORS)
+        scheduler.add_worker(
+            f"w{number}", f"r{number // WORKERS_PER_RACK}", ACCELERATORS
+        )
     for number in range(jobs):
         spec = JobSpec(f"j{number}", "c", members, 1, "rack")
         scheduler.add_job(spec, 1, 0.0)
@@ -226,7 +231,7 @@
         def make(workers=workers, jobs=jobs):
             return _make_hall(workers, jobs, 8)
 
-        (scheduler, reports), held = measure_memory(make)
+        (scheduler, reports), held_bytes = measure_memory(make)
         tasks = sum(map(len, reports.values()))
 
         def report_all(scheduler=scheduler, reports=reports):
@@ -238,7 +243,7 @@
         idle_s = time_median(lambda s=scheduler: s.decide(2.0))
         print(
             f"  {workers:>8} {tasks:>7} {report_s * 1e6:>9.1f} {idle_s * 1e6:>14.1f} "
-            f"{held / 2**20:>9.2f} {held / max(1, tasks):>7.0f}"
+            f"{held_bytes / 2**20:>9.2f} {held_bytes / max(1, tasks):>7.0f}"
         )
     terms = LeaseTerms()
     tenure = Tenure("i", terms)
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -1,4 +1,4 @@
-"""Print what one decision about staged jobs costs, by workers and waiting steps."""
+"""Print how long a decision on staged jobs takes, by workers and waiting steps."""
 
 import random
 import time
@@ -13,24 +13,24 @@
 
 WORKER_COUNTS = (24, 176, 832)
 WAITING_COUNTS = (10, 100, 400)
-ROOM = Resources(32_000, 131_072, 8)
-PER_RACK = 8
+WORKER_RESOURCES = Resources(32_000, 131_072, 8)
+WORKERS_PER_RACK = 8
 DECISIONS = 10
-STEP_S = 0.6
-"""Longer than the time between two looks at what waits."""
+DECISION_INTERVAL_S = 0.6
+"""Longer than the 0.5 s for which the scheduler skips placement if nothing changed."""
 
 
 def print_fleet() -> None:
-    """Print milliseconds for each decision on full workers."""
+    """Print the mean milliseconds of a decision while all workers are full."""
     print("one decision about staged jobs, all workers full")
     for workers in WORKER_COUNTS:
         for waiting in WAITING_COUNTS:
-            took_ms = _measure(workers, waiting)
-            print(f"  {workers:>5} workers, {waiting:>4} waiting: {took_ms:>7.2f} ms")
+            mean_ms = _measure(workers, waiting)
+            print(f"  {workers:>5} workers, {waiting:>4} waiting: {mean_ms:>7.2f} ms")
 
 
 def _measure(workers: int, waiting: int) -> float:
-    chance = random.Random(1)
+    rng = random.Random(1)
     scheduler = create_fleet_scheduler(FleetPolicy(), 0.0)
     scheduler.take_list([_make_worker(n) for n in range(workers)], 0.0)
     for name in list(scheduler.state.workers):
@@ -39,10 +39,10 @@
     _add(scheduler, 0, StepSpec(count=workers * 8, accelerators=1, checkpoints=True))
     scheduler.decide(0.0, 0)
     for number in range(1, waiting + 1):
-        _add(scheduler, number, _draw_step(chance))
+        _add(scheduler, number, _draw_step(rng))
     began_s = time.perf_counter()
     for number in range(DECISIONS):
-        scheduler.decide(1.0 + number * STEP_S, 0)
+        scheduler.decide(1.0 + number * DECISION_INTERVAL_S, 0)
     return (time.perf_counter() - began_s) / DECISIONS * 1000
 
 
@@ -52,24 +52,24 @@
     scheduler.add_job(BookEntry(job), 0.0, 0)
 
 
-def _draw_step(chance: random.Random) -> StepSpec:
-    gang = chance.random() < 0.5
+def _draw_step(rng: random.Random) -> StepSpec:
+    gang = rng.random() < 0.5
     return StepSpec(
-        count=chance.randint(1, 16),
-        cpu_milli=chance.choice((2800, 13000)),
+        count=rng.randint(1, 16),
+        cpu_milli=rng.choice((2800, 13000)),
         memory_mb=11_000,
-        accelerators=chance.choice((1, 2, 4, 8)),
+        accelerators=rng.choice((1, 2, 4, 8)),
         estimate_ms=9000,
         gang=gang,
         same_rack=gang,
-        checkpoints=chance.random() < 0.5,
+        checkpoints=rng.random() < 0.5,
     )
 
 
 def _make_worker(number: int) -> ListedTaskWorker:
-    rack = f"r{number // PER_RACK}"
+    rack = f"r{number // WORKERS_PER_RACK}"
     labels = frozenset(("a", rack))
     name = f"w{number}"
     return ListedTaskWorker(
-        name, "service", name, "hall", rack, labels, ROOM, False, None, 0
+        name, "service", name, "hall", rack, labels, WORKER_RESOURCES, False, None, 0
     )
--- a/measure/hops.py
+++ b/measure/hops.py
@@ -1,8 +1,9 @@
-"""Tell from a day's logs where the time of jobs goes and what they waited for.
+"""Report from instance logs where jobs spend their time and what they wait for.
 
-Reads the lines of all instances (key=value, in order of time) from files and prints,
-by priority, how long jobs took from hop to hop and how many stops they caused.
-Instances bound their logs; how many lines they dropped is printed first.
+Reads the log lines of all instances (key=value, in order of time) from files or
+standard input. Prints, by priority, the time between the stages of a job and the
+number of tasks stopped by preemption. Instances limit their log lines per second, so
+the number of dropped lines is printed first.
 """
 
 import re
@@ -17,26 +18,31 @@
 _LINE = re.compile(r"^\s*([0-9.]+) .*?\bevent=(\S+) (.*)$")
 _DROPPED = re.compile(r"\blines_dropped_before=(\d+)")
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S*)')
-HOPS = ("accepted", "decided", "last start", "ended")
+STAGES = ("accepted", "decided", "last start", "ended")
 PERCENTILES = (50, 90, 99)
 
 
 @dataclass(slots=True)
 class JobTimes:
-    """Hold when a job passed each hop, in seconds of the day."""
+    """The times at which a job reached each stage, and counts of its log events.
+
+    ``stage_times_s`` holds the log's timestamps in seconds, ``accept_s`` the duration
+    of the call that submitted the job. ``preempted_tasks`` counts the job's own tasks
+    that were stopped for others, ``preempted_others`` the tasks stopped for this job.
+    """
 
     priority: str = "?"
     tasks: int = 0
-    took_s: float = 0.0
-    hops: dict[str, float] = field(default_factory=dict)
+    accept_s: float = 0.0
+    stage_times_s: dict[str, float] = field(default_factory=dict)
     waits: Counter = field(default_factory=Counter)
-    caused: int = 0
-    suffered: int = 0
+    preempted_others: int = 0
+    preempted_tasks: int = 0
     starts: int = 0
 
 
 def read_jobs(lines: Iterable[str]) -> dict[str, JobTimes]:
-    """Return the times of every job that was accepted."""
+    """Return the times of every job whose acceptance is in ``lines``, by job id."""
     jobs: dict[str, JobTimes] = defaultdict(JobTimes)
     for at_s, event, fields in _parse(lines):
         job = jobs[fields.get("job", "")]
@@ -44,47 +50,47 @@
             case "job-accepted":
                 job.priority = fields.get("priority", "?")
                 job.tasks = int(fields["tasks"])
-                job.took_s = float(fields["took_s"])
-                job.hops.setdefault("accepted", at_s)
+                job.accept_s = float(fields["took_s"])
+                job.stage_times_s.setdefault("accepted", at_s)
             case "start-decided":
-                job.hops.setdefault("decided", at_s)
-                job.hops["last start"] = at_s
+                job.stage_times_s.setdefault("decided", at_s)
+                job.stage_times_s["last start"] = at_s
                 job.starts += int(fields["tasks"])
             case "waits":
                 job.waits[f"{fields['tier']}: {fields['reason']}"] += 1
             case "preempted":
-                job.suffered += int(fields["tasks"])
-                jobs[fields["claimant"]].caused += int(fields["tasks"])
+                job.preempted_tasks += int(fields["tasks"])
+                jobs[fields["claimant"]].preempted_others += int(fields["tasks"])
             case "job-ended":
-                job.hops.setdefault("ended", at_s)
-    return {name: job for name, job in jobs.items() if "accepted" in job.hops}
+                job.stage_times_s.setdefault("ended", at_s)
+    return {name: job for name, job in jobs.items() if "accepted" in job.stage_times_s}
 
 
 def count_dropped(lines: Iterable[str]) -> int:
-    """Return how many lines the instances said they had dropped."""
+    """Return how many dropped lines the instances' logs report."""
     return sum(int(number) for line in lines for number in _DROPPED.findall(line))
 
 
 def render(jobs: dict[str, JobTimes]) -> str:
-    """Return the tables as text."""
+    """Return a table for each priority as text."""
     lines = []
     for priority in sorted({job.priority for job in jobs.values()}):
         chosen = [job for job in jobs.values() if job.priority == priority]
-        ended = [job for job in chosen if "ended" in job.hops]
+        ended = [job for job in chosen if "ended" in job.stage_times_s]
         lines.append(f"priority {priority}: {len(chosen)} jobs, {len(ended)} ended")
-        lines.append(_render_row("call to accepted", [j.took_s for j in chosen]))
-        for first, second in zip(HOPS, HOPS[1:], strict=False):
+        lines.append(_render_row("call to accepted", [j.accept_s for j in chosen]))
+        for first, second in zip(STAGES, STAGES[1:], strict=False):
             times = [
-                job.hops[second] - job.hops[first]
+                job.stage_times_s[second] - job.stage_times_s[first]
                 for job in chosen
-                if first in job.hops and second in job.hops
+                if first in job.stage_times_s and second in job.stage_times_s
             ]
             lines.append(_render_row(f"{first} to {second}", times))
         tasks = sum(job.tasks for job in chosen)
         lines.append(
             f"  tasks {tasks}, started {sum(j.starts for j in chosen)}, stopped for"
-            f" others {sum(j.suffered for j in chosen)}, others stopped for them"
-            f" {sum(j.caused for j in chosen)}"
+            f" others {sum(j.preempted_tasks for j in chosen)}, others stopped for them"
+            f" {sum(j.preempted_others for j in chosen)}"
         )
         waits = sum((job.waits for job in chosen), Counter())
         lines += [f"  {count:5} {reason}" for reason, count in waits.most_common(6)]
@@ -109,7 +115,7 @@
 
 
 def main() -> None:
-    """Print the tables for the files that are named, or for standard input."""
+    """Print the tables for the files given as arguments, or for standard input."""
     names = sys.argv[1:]
     texts = [Path(name).read_text() for name in names] or [sys.stdin.read()]
     lines = [line for text in texts for line in text.splitlines()]
--- a/measure/path.py
+++ b/measure/path.py
@@ -1,4 +1,7 @@
-"""Print what the entry adds to a direct call, over real sockets and processes."""
+"""Print the latency that an instance adds to a direct call to a runner.
+
+The calls go over real sockets to real processes.
+"""
 
 import asyncio
 import time
@@ -11,12 +14,12 @@
 __all__ = ["print_path"]
 
 ROUNDS = 400
-LOADED = 2000
-CALLERS = 32
+LOAD_REQUESTS = 2000
+CONCURRENT_CALLERS = 32
 
 
 def print_path() -> None:
-    """Print latencies as ratios of one run, and requests a second per core."""
+    """Print median latencies, their ratio, and requests per second of CPU time."""
     asyncio.run(_measure())
 
 
@@ -51,7 +54,7 @@
     )
     cpu_s, rate = await _load(cluster, entry)
     print(
-        f"  {kind}: {rate:.0f} requests a second, {LOADED / cpu_s:.0f} for each "
+        f"  {kind}: {rate:.0f} requests a second, {LOAD_REQUESTS / cpu_s:.0f} for each "
         f"second of the instance's processor time"
     )
 
@@ -69,18 +72,18 @@
     metric = "larkhoist_control_cpu_seconds"
     before_s = await cluster.read_metric(entry, metric)
     began_s = time.perf_counter()
-    numbers = iter(range(LOADED))
+    numbers = iter(range(LOAD_REQUESTS))
     url = cluster.get_url(entry, "/v1/services/main/run")
     async with aiohttp.ClientSession() as session:
 
-        async def loop() -> None:
+        async def call_repeatedly() -> None:
             for _ in numbers:
                 await _call(session, url)
 
-        await asyncio.gather(*(loop() for _ in range(CALLERS)))
+        await asyncio.gather(*(call_repeatedly() for _ in range(CONCURRENT_CALLERS)))
     taken_s = time.perf_counter() - began_s
     used_s = await cluster.read_metric(entry, metric) - before_s
-    return used_s, LOADED / taken_s
+    return used_s, LOAD_REQUESTS / taken_s
 
 
 def _median(values: list[float]) -> float:
--- a/measure/placement.py
+++ b/measure/placement.py
@@ -1,31 +1,31 @@
-"""Print how placement does against the plain ways, on seeded workloads."""
+"""Compare the hall scheduler's placement with baselines on seeded workloads."""
 
 from collections.abc import Sequence
 from concurrent.futures import ProcessPoolExecutor
 
 from larkhoist.scheduling.policy import SchedulingPolicy
 from measure.plain_scheduler import Fit
-from measure.replay import ReplayResult, replay_ours, replay_plainly
+from measure.replay import ReplayResult, replay_baseline, replay_hall_scheduler
 from measure.workload import make_workload
 
 __all__ = ["print_placement"]
 
 WORKERS = 24
 ACCELERATORS = 8
-PER_RACK = 8
+WORKERS_PER_RACK = 8
 PROCESSES = 6
 LOAD = 0.8
 END_S = 3600.0
-TUNED_SEEDS = (1, 2, 3)
-OTHER_SEEDS = (11, 12, 13)
+TUNING_SEEDS = (1, 2, 3)
+HELD_OUT_SEEDS = (11, 12, 13)
 POLICY = SchedulingPolicy()
 
 
 def print_placement(
     policy: SchedulingPolicy = POLICY, load: float = LOAD, end_s: float = END_S
 ) -> None:
-    """Print a row for each way, for the tuned seeds and for others."""
-    for title, seeds in (("tuned", TUNED_SEEDS), ("not tuned", OTHER_SEEDS)):
+    """Print a row for each method: first the seeds used for tuning, then others."""
+    for title, seeds in (("tuned", TUNING_SEEDS), ("not tuned", HELD_OUT_SEEDS)):
         print(f"placement, seeds {seeds} ({title}), load {load:.0%}")
         print(
             f"  {'way':<10} {'small p50':>9} {'p99':>6} {'max':>6} {'gang p99':>9} "
@@ -38,21 +38,25 @@
 
 
 def _run_all(seeds, policy, load, end_s):
-    ways = ["ours", *Fit]
-    tasks = [(way, seed, policy, load, end_s) for way in ways for seed in seeds]
+    methods = ["ours", *Fit]
+    tasks = [
+        (method, seed, policy, load, end_s) for method in methods for seed in seeds
+    ]
     with ProcessPoolExecutor(max_workers=PROCESSES) as pool:
         results = list(pool.map(_run_one, tasks))
-    for number, way in enumerate(ways):
-        name = way if way == "ours" else way.value
+    for number, method in enumerate(methods):
+        name = method if method == "ours" else method.value
         yield name, results[number * len(seeds) : (number + 1) * len(seeds)]
 
 
 def _run_one(task) -> ReplayResult:
-    way, seed, policy, load, end_s = task
+    method, seed, policy, load, end_s = task
     workload = make_workload(seed, WORKERS, ACCELERATORS, load, end_s)
-    if way == "ours":
-        return replay_ours(workload, WORKERS, ACCELERATORS, PER_RACK, policy)
-    return replay_plainly(workload, WORKERS, ACCELERATORS, PER_RACK, way)
+    if method == "ours":
+        return replay_hall_scheduler(
+            workload, WORKERS, ACCELERATORS, WORKERS_PER_RACK, policy
+        )
+    return replay_baseline(workload, WORKERS, ACCELERATORS, WORKERS_PER_RACK, method)
 
 
 def _format(results: Sequence[ReplayResult], load: float, end_s: float) -> str:
--- a/measure/plain_scheduler.py
+++ b/measure/plain_scheduler.py
@@ -1,7 +1,7 @@
-"""Schedule jobs in plain ways, to compare with.
+"""Choose places with simple baseline methods, for comparison.
 
-The queue is served in the order of arrival and whatever fits is placed; nothing
-is reserved, reclaimed or learned.
+The caller tries jobs in the order of arrival and places each one that fits. Nothing
+is reserved or reclaimed, and no run times are learned.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Fit(Enum):
-    """Name the plain ways to choose workers."""
+    """Baseline methods to choose workers; the values are printed in reports."""
 
     FIRST = "first fit"
     BEST = "best fit"
@@ -23,33 +23,33 @@
 
 
 def find_plainly(index: FreeIndex, spec: JobSpec, fit: Fit) -> list[MemberPlace] | None:
-    """Return places for a gang by one plain way, or None."""
+    """Return places for a gang according to ``fit``, or None if it does not fit."""
     if spec.adjacency == "worker":
-        return _find_in_one(index, spec, fit)
+        return _find_in_one_worker(index, spec, fit)
     level = get_level(spec.accelerators)
     racks = index.iter_racks()
     if spec.adjacency == "hall":
         groups = [[n for r in racks for n in index.get_rack_workers(r)]]
     else:
         groups = [index.get_rack_workers(rack) for rack in racks]
-    fitting = []
+    candidates = []
     for names in groups:
         room = sum(count_blocks(index.get_free(name), level) for name in names)
         if room >= spec.members:
-            fitting.append((room, names))
-    if not fitting:
+            candidates.append((room, names))
+    if not candidates:
         return None
-    _, names = _choose(fitting, lambda item: item[0], fit)
+    _, names = _choose(candidates, lambda item: item[0], fit)
     return _fill(index, names, spec, level, fit)
 
 
-def _find_in_one(index, spec, fit) -> list[MemberPlace] | None:
+def _find_in_one_worker(index, spec, fit) -> list[MemberPlace] | None:
     level = get_level(spec.total)
     names = [n for r in index.iter_racks() for n in index.get_rack_workers(r)]
-    fitting = [n for n in names if count_blocks(index.get_free(n), level)]
-    if not fitting:
+    candidates = [n for n in names if count_blocks(index.get_free(n), level)]
+    if not candidates:
         return None
-    name = _choose(fitting, lambda n: index.get_free(n).bit_count(), fit)
+    name = _choose(candidates, lambda n: index.get_free(n).bit_count(), fit)
     start = _find_start(index.get_free(name), level)
     return [
         MemberPlace(name, make_mask(spec.accelerators) << start + i * spec.accelerators)
@@ -61,8 +61,8 @@
     free = {name: index.get_free(name) for name in names}
     places: list[MemberPlace] = []
     while len(places) < spec.members:
-        fitting = [name for name in names if count_blocks(free[name], level)]
-        name = _choose(fitting, lambda n: free[n].bit_count(), fit)
+        candidates = [name for name in names if count_blocks(free[name], level)]
+        name = _choose(candidates, lambda n: free[n].bit_count(), fit)
         mask = make_mask(spec.accelerators) << _find_start(free[name], level)
         free[name] &= ~mask
         places.append(MemberPlace(name, mask))
--- a/measure/replay.py
+++ b/measure/replay.py
@@ -1,4 +1,4 @@
-"""Replay a workload against the hall scheduler or a plain one."""
+"""Replay a workload against the hall scheduler or a baseline."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
@@ -20,9 +20,14 @@
 from measure.plain_scheduler import Fit, find_plainly
 from measure.workload import HALL, Arrival, Workload
 
-__all__ = ["MEASURED_MIX", "ReplayResult", "replay_ours", "replay_plainly"]
+__all__ = [
+    "EXPECTED_SHAPES",
+    "ReplayResult",
+    "replay_baseline",
+    "replay_hall_scheduler",
+]
 
-MEASURED_MIX = (
+EXPECTED_SHAPES = (
     ExpectedShape(1, 1, "worker", 0.35),
     ExpectedShape(1, 4, "worker", 0.25),
     ExpectedShape(4, 8, "rack", 0.25),
@@ -30,12 +35,12 @@
 )
 TICK_S = 1.0
 SAMPLE_S = 10.0
-LONGEST_S = 6 * 3600.0
+MAX_REPLAY_S = 6 * 3600.0
 
 
 @dataclass(slots=True)
 class ReplayResult:
-    """Hold what one replay measured; times are in seconds."""
+    """The results of one replay; times are in seconds, lost work in accelerator-s."""
 
     completion: dict[str, list[float]] = field(
         default_factory=lambda: defaultdict(list)
@@ -49,13 +54,13 @@
     unfinished: int = 0
 
     def note_sample(self, index: FreeIndex, worker_size: int) -> None:
-        """Sample the fragmentation while something is free."""
+        """Record the fragmentation, unless no accelerator is free."""
         if index.free_total:
-            self.fragmentation.append(get_fragmentation(index, MEASURED_MIX))
+            self.fragmentation.append(get_fragmentation(index, EXPECTED_SHAPES))
             self.largest_block.append(get_largest_block(index, worker_size))
 
     def note_end(self, arrival: Arrival, started_s: float, now_s: float) -> None:
-        """Note a job that finished."""
+        """Record the completion and waiting times of a finished job."""
         self.completion[arrival.kind].append(now_s - arrival.at_s)
         self.wait[arrival.kind].append(started_s - arrival.at_s)
 
@@ -90,8 +95,8 @@
             events.add(arrival.cancel_s, _Cancel(arrival.spec.job_id))
 
 
-class _OursReplay:
-    """Drive the hall scheduler with workers that obey at once."""
+class _HallReplay:
+    """Drive the hall scheduler with workers that execute commands without delay."""
 
     def __init__(self, workload, workers, accelerators, per_rack, policy):
         self.workload = workload
@@ -107,19 +112,19 @@
         self.tasks: dict[str, dict[tuple[str, int, int], TaskReport]] = defaultdict(
             dict
         )
-        self.left_s = {a.spec.job_id: a.run_s for a in workload.arrivals}
+        self.remaining_s = {a.spec.job_id: a.run_s for a in workload.arrivals}
         self.started: dict[tuple[str, int], float] = {}
         self.first_start: dict[str, float] = {}
         self.sampled_s = 0.0
         self.now_s = 0.0
 
     def run(self) -> ReplayResult:
-        """Replay until every job has ended."""
+        """Replay until every job has ended, or for ``MAX_REPLAY_S`` at most."""
         _queue_arrivals(self.events, self.workload)
         self.events.add(0.0, _Tick())
         while self.events:
             self.now_s, event = self.events.pop()
-            if self.now_s > LONGEST_S:
+            if self.now_s > MAX_REPLAY_S:
                 break
             self._handle(event)
             self._decide()
@@ -132,7 +137,7 @@
             case _Arrive(arrival):
                 scheduler.add_job(arrival.spec, 1, self.now_s)
             case _Cancel(job_id) if job_id in scheduler.jobs:
-                self._carry_out(scheduler.cancel_job(job_id, self.now_s))
+                self._apply_effects(scheduler.cancel_job(job_id, self.now_s))
             case _Finish(job_id, attempt, worker, failed):
                 self._finish(job_id, attempt, worker, failed)
             case _Tick():
@@ -157,19 +162,19 @@
             effects = self.scheduler.decide(self.now_s)
             if not effects:
                 return
-            self._carry_out(effects)
+            self._apply_effects(effects)
 
-    def _carry_out(self, effects) -> None:
+    def _apply_effects(self, effects) -> None:
         for effect in effects:
             match effect:
                 case Send(worker, command):
-                    self._obey(worker, command)
+                    self._execute(worker, command)
                 case Append(JobFinished(job_id, _, _, code)):
                     self._end(job_id, Code(code))
                 case Append(JobRequeued(_, _, _, code)):
                     self.result.ends[f"requeued {Code(code).name}"] += 1
 
-    def _obey(self, worker, command) -> None:
+    def _execute(self, worker, command) -> None:
         key = (command.job_id, command.attempt, command.member)
         tasks = self.tasks[worker]
         match command.verb:
@@ -190,14 +195,14 @@
         job_id, attempt, _ = key
         old = self.tasks[worker][key]
         self.tasks[worker][key] = TaskReport(*key, TaskState.RUNNING, old.accelerators)
-        failed = worker in self.workload.bad_workers
+        failed = worker in self.workload.failing_workers
         if (job_id, attempt) not in self.started:
             self.started[(job_id, attempt)] = self.now_s
             self.first_start.setdefault(job_id, self.now_s)
         if failed:
             self.events.add(self.now_s + 1.0, _Finish(job_id, attempt, worker, True))
         else:
-            end_s = self.now_s + self.left_s[job_id]
+            end_s = self.now_s + self.remaining_s[job_id]
             self.events.add(end_s, _Finish(job_id, attempt, worker, False))
 
     def _finish(self, job_id, attempt, worker, failed) -> None:
@@ -212,7 +217,7 @@
 
     def _report(self, worker) -> None:
         reports = tuple(self.tasks[worker].values())
-        self._carry_out(self.scheduler.note_report(worker, reports))
+        self._apply_effects(self.scheduler.note_report(worker, reports))
 
     def _note_stop(self, key) -> None:
         job_id, attempt, _ = key
@@ -222,7 +227,7 @@
         ran_s = self.now_s - started_s
         job = self.scheduler.jobs[job_id]
         if job.current is not None and job.current.is_checkpointed:
-            self.left_s[job_id] = max(0.1, self.left_s[job_id] - ran_s)
+            self.remaining_s[job_id] = max(0.1, self.remaining_s[job_id] - ran_s)
         else:
             self.result.lost_work += ran_s * job.spec.total
 
@@ -231,10 +236,10 @@
         arrival = self.arrivals[job_id]
         if code is Code.JOB_FINISHED:
             self.result.note_end(arrival, self.first_start[job_id], self.now_s)
-        self._carry_out(self.scheduler.note_ended(job_id))
+        self._apply_effects(self.scheduler.note_ended(job_id))
 
 
-def replay_ours(
+def replay_hall_scheduler(
     workload: Workload,
     workers: int,
     accelerators: int,
@@ -242,13 +247,13 @@
     policy: SchedulingPolicy,
 ) -> ReplayResult:
     """Replay ``workload`` against the hall scheduler."""
-    return _OursReplay(workload, workers, accelerators, per_rack, policy).run()
+    return _HallReplay(workload, workers, accelerators, per_rack, policy).run()
 
 
-def replay_plainly(
+def replay_baseline(
     workload: Workload, workers: int, accelerators: int, per_rack: int, fit: Fit
 ) -> ReplayResult:
-    """Replay ``workload`` in the order of arrival with one plain way to choose."""
+    """Replay ``workload`` in the order of arrival, with workers chosen by ``fit``."""
     index = FreeIndex()
     for number in range(workers):
         index.add_worker(f"w{number}", f"r{number // per_rack}", accelerators)
@@ -257,12 +262,12 @@
     result = ReplayResult()
     waiting: dict[str, Arrival] = {}
     running: dict[str, tuple[Arrival, list, float]] = {}
-    tries: Counter = Counter()
+    attempts: Counter = Counter()
     sampled_s = 0.0
     failures = 0
     while events:
         now_s, event = events.pop()
-        if now_s > LONGEST_S:
+        if now_s > MAX_REPLAY_S:
             break
         match event:
             case _Arrive(arrival):
@@ -270,7 +275,7 @@
             case _Cancel(job_id):
                 waiting.pop(job_id, None)
             case _Finish(job_id, attempt, _, failed):
-                if job_id in running and tries[job_id] == attempt:
+                if job_id in running and attempts[job_id] == attempt:
                     arrival, places, started_s = running.pop(job_id)
                     index.give_back(places)
                     if not failed:
@@ -279,10 +284,10 @@
                         waiting[job_id] = arrival
                         failures += 1
         if failures >= FAILURES_TO_QUARANTINE:
-            # The plain ways get a quarantine as well: placement is compared.
-            for name in workload.bad_workers:
+            # Baselines get a quarantine too, so that only placement is compared.
+            for name in workload.failing_workers:
                 index.set_free(name, 0)
-        _place_plainly(index, waiting, running, tries, events, workload, fit, now_s)
+        _place_waiting(index, waiting, running, attempts, events, workload, fit, now_s)
         if now_s - sampled_s >= SAMPLE_S and now_s <= workload.end_s:
             sampled_s = now_s
             result.note_sample(index, accelerators)
@@ -290,8 +295,8 @@
     return result
 
 
-def _place_plainly(
-    index, waiting, running, tries, events, workload, fit, now_s
+def _place_waiting(
+    index, waiting, running, attempts, events, workload, fit, now_s
 ) -> None:
     failed_shapes = set()
     for job_id, arrival in list(waiting.items()):
@@ -306,8 +311,8 @@
         index.take(places)
         del waiting[job_id]
         running[job_id] = (arrival, places, now_s)
-        tries[job_id] += 1
-        failed = any(place.worker in workload.bad_workers for place in places)
+        attempts[job_id] += 1
+        failed = any(place.worker in workload.failing_workers for place in places)
         run_s = 1.0 if failed else arrival.run_s
-        event = _Finish(job_id, tries[job_id], places[0].worker, failed)
+        event = _Finish(job_id, attempts[job_id], places[0].worker, failed)
         events.add(now_s + run_s, event)
--- a/measure/routing.py
+++ b/measure/routing.py
@@ -1,4 +1,4 @@
-"""Print how request routing does against plain ways, on seeded arrivals."""
+"""Compare request routing with baseline strategies on seeded arrivals."""
 
 import heapq
 import itertools
@@ -26,8 +26,8 @@
 SEEDS = (1, 2)
 
 
-class Way(Enum):
-    """Name the ways to choose a runner."""
+class Strategy(Enum):
+    """Strategies to choose a runner; the values are printed."""
 
     PACKED = "ours, packed"
     SPREAD = "ours, spread"
@@ -37,14 +37,14 @@
 
 
 _POLICIES = {
-    Way.PACKED: RequestPolicy(pack_share=0.75),
-    Way.SPREAD: RequestPolicy(pack_share=0.0),
+    Strategy.PACKED: RequestPolicy(pack_share=0.75),
+    Strategy.SPREAD: RequestPolicy(pack_share=0.0),
 }
 
 
 @dataclass(slots=True)
 class _Runner:
-    """Hold a runner's slots and the requests that wait at it."""
+    """The number of busy slots of a runner and the requests that wait for one."""
 
     busy: int = 0
     waiting: deque = field(default_factory=deque)
@@ -52,7 +52,11 @@
 
 @dataclass(slots=True)
 class RoutingResult:
-    """Hold what one run measured."""
+    """The results of one run; latencies are in seconds.
+
+    ``overshoot`` counts requests sent to a runner without a free slot, and
+    ``idle_runners`` is the mean number of runners without a request.
+    """
 
     latency: DDSketch = field(default_factory=DDSketch)
     overshoot: int = 0
@@ -63,27 +67,28 @@
 class _Run:
     """Replay one seeded stream of requests over all instances of a hall."""
 
-    def __init__(self, way: Way, load: float, seed: int):
-        self.way = way
+    def __init__(self, strategy: Strategy, load: float, seed: int):
+        self.strategy = strategy
         self.random = random.Random(seed)
         self.arrivals = random.Random(seed + 1000)
         self.rate = load * RUNNERS * SLOTS / MEAN_WORK_S
         self.names = [f"r{n}" for n in range(RUNNERS)]
         self.runners = {name: _Runner() for name in self.names}
-        self.own = [dict.fromkeys(self.names, 0) for _ in range(INSTANCES)]
-        self.next = [itertools.cycle(self.names) for _ in range(INSTANCES)]
+        self.outstanding = [dict.fromkeys(self.names, 0) for _ in range(INSTANCES)]
+        self.round_robin = [itertools.cycle(self.names) for _ in range(INSTANCES)]
         self.dispatchers = []
-        if way in _POLICIES:
-            self.dispatchers = [self._create(way) for _ in range(INSTANCES)]
+        if strategy in _POLICIES:
+            self.dispatchers = [self._create(strategy) for _ in range(INSTANCES)]
         self.result = RoutingResult()
-        self.began: dict[str, tuple[float, float, int]] = {}
+        # By request: arrival time and work in seconds, instance.
+        self.open_requests: dict[str, tuple[float, float, int]] = {}
         self.heap: list = []
         self.numbers = itertools.count()
         self.now_s = 0.0
-        self.idle_area = 0.0
+        self.idle_runner_s = 0.0
 
-    def _create(self, way):
-        dispatcher = create_dispatcher(_POLICIES[way])
+    def _create(self, strategy):
+        dispatcher = create_dispatcher(_POLICIES[strategy])
         for name in self.names:
             dispatcher.upstreams.put(name, SLOTS, 0.0)
         return dispatcher
@@ -93,16 +98,16 @@
         self._add(0.0, self._arrive, 0)
         self._add(GOSSIP_S, self._gossip)
         while self.heap:
-            at_s, _, act, arguments = heapq.heappop(self.heap)
+            at_s, _, callback, arguments = heapq.heappop(self.heap)
             idle = sum(not r.busy for r in self.runners.values())
-            self.idle_area += idle * (at_s - self.now_s)
+            self.idle_runner_s += idle * (at_s - self.now_s)
             self.now_s = at_s
-            act(*arguments)
-        self.result.idle_runners = self.idle_area / self.now_s
+            callback(*arguments)
+        self.result.idle_runners = self.idle_runner_s / self.now_s
         return self.result
 
-    def _add(self, at_s, act, *arguments) -> None:
-        heapq.heappush(self.heap, (at_s, next(self.numbers), act, arguments))
+    def _add(self, at_s, callback, *arguments) -> None:
+        heapq.heappush(self.heap, (at_s, next(self.numbers), callback, arguments))
 
     def _arrive(self, number: int) -> None:
         # One in ten arrivals is a burst of ten at the same moment.
@@ -111,43 +116,47 @@
             self._take_request(number)
             number += 1
         if number < REQUESTS:
+            # The mean number of requests per arrival is 0.9 * 1 + 0.1 * 10 = 1.9.
             gap_s = self.arrivals.expovariate(self.rate / 1.9)
             self._add(self.now_s + gap_s, self._arrive, number)
 
     def _take_request(self, number: int) -> None:
+        # The mean of this log-normal distribution is exp(0.5) = 1.6487.
         work_s = self.arrivals.lognormvariate(0, 1) * MEAN_WORK_S / 1.6487
         instance = self.arrivals.randrange(INSTANCES)
         request = f"q{number}"
-        self.began[request] = (self.now_s, work_s, instance)
+        self.open_requests[request] = (self.now_s, work_s, instance)
         if not self.dispatchers:
             self._send(request, self._choose(instance))
             return
         queued = QueuedRequest(request, "c", self.now_s, self.now_s + DEADLINE_S)
         decision = self.dispatchers[instance].offer(queued, 1, self.now_s)
-        self._follow(decision)
+        self._apply(decision)
 
-    def _follow(self, decision) -> None:
+    def _apply(self, decision) -> None:
         match decision:
             case SendTo(request, name):
                 self._send(request, name)
             case Refused(request):
                 self.result.refused += 1
-                del self.began[request]
+                del self.open_requests[request]
 
     def _choose(self, instance: int) -> str:
-        own = self.own[instance]
-        match self.way:
-            case Way.LEAST:
-                least = min(own.values())
-                return self.random.choice([n for n in self.names if own[n] == least])
-            case Way.ROUND_ROBIN:
-                return next(self.next[instance])
+        outstanding = self.outstanding[instance]
+        match self.strategy:
+            case Strategy.LEAST:
+                least = min(outstanding.values())
+                return self.random.choice(
+                    [n for n in self.names if outstanding[n] == least]
+                )
+            case Strategy.ROUND_ROBIN:
+                return next(self.round_robin[instance])
             case _:
                 return self.random.choice(self.names)
 
     def _send(self, request: str, name: str) -> None:
         runner = self.runners[name]
-        self.own[self.began[request][2]][name] += 1
+        self.outstanding[self.open_requests[request][2]][name] += 1
         if runner.busy < SLOTS:
             self._begin(request, name)
         else:
@@ -156,42 +165,47 @@
 
     def _begin(self, request: str, name: str) -> None:
         self.runners[name].busy += 1
-        self._add(self.now_s + self.began[request][1], self._finish, request, name)
+        self._add(
+            self.now_s + self.open_requests[request][1], self._finish, request, name
+        )
 
     def _finish(self, request: str, name: str) -> None:
-        began_s, _, instance = self.began.pop(request)
-        self.result.latency.add(self.now_s - began_s)
+        arrived_s, _, instance = self.open_requests.pop(request)
+        self.result.latency.add(self.now_s - arrived_s)
         runner = self.runners[name]
         runner.busy -= 1
         if runner.waiting:
             self._begin(runner.waiting.popleft(), name)
-        self.own[instance][name] -= 1
+        self.outstanding[instance][name] -= 1
         if self.dispatchers:
             for decision in self.dispatchers[instance].finish(name, True, self.now_s):
-                self._follow(decision)
+                self._apply(decision)
 
     def _gossip(self) -> None:
         for instance, dispatcher in enumerate(self.dispatchers):
             for name in self.names:
-                others = sum(own[name] for own in self.own) - self.own[instance][name]
+                others = (
+                    sum(outstanding[name] for outstanding in self.outstanding)
+                    - self.outstanding[instance][name]
+                )
                 dispatcher.upstreams.set_remote(name, others, self.now_s)
             for decision in dispatcher.pump(self.now_s):
-                self._follow(decision)
-        if self.began or self.heap:
+                self._apply(decision)
+        if self.open_requests or self.heap:
             self._add(self.now_s + GOSSIP_S, self._gossip)
 
 
 def print_routing() -> None:
-    """Print a row for each load and way."""
+    """Print a row for each load and strategy."""
     print(f"routing, {INSTANCES} instances, {RUNNERS} runners, seeds {SEEDS}")
     print(
         f"  {'load':<5} {'way':<18} {'p50 ms':>7} {'p99 ms':>7} {'max ms':>7} "
         f"{'overshoot':>9} {'refused':>7} {'idle runners':>12}"
     )
     for load in LOADS:
-        for way in Way:
-            results = [_Run(way, load, seed).run() for seed in SEEDS]
-            print(f"  {load:<5.0%} {way.value:<18} {_format(results)}")
+        for strategy in Strategy:
+            results = [_Run(strategy, load, seed).run() for seed in SEEDS]
+            print(f"  {load:<5.0%} {strategy.value:<18} {_format(results)}")
 
 
 def _format(results: list[RoutingResult]) -> str:
--- a/measure/shares.py
+++ b/measure/shares.py
@@ -1,6 +1,7 @@
-"""Tell from an entry of the journal by which shares the worth of its days was lost.
+"""Report from a journal entry how much each cause lowered the score of its days.
 
-The shares of a day and its worth add up to 1. Prices below a thousandth go together.
+The score of a day and its losses add up to 1. Prices (penalties) below 0.001 are
+added up as "other prices".
 """
 
 import json
@@ -12,43 +13,45 @@
 
 __all__ = ["DayShares", "read_days", "render"]
 
-LEAST_SHARE = 0.001
-LEFT_OUT = ("quiet", "fresh")
-"""Days without trouble, and days that were drawn anew, are not in the mean."""
+MIN_LISTED_PRICE = 0.001
+EXCLUDED_PREFIXES = ("quiet", "fresh")
+"""Name prefixes of days without faults and of newly drawn days; not in the mean."""
 
 
 @dataclass(frozen=True, slots=True)
 class DayShares:
-    """Hold a day's worth and what it lost, by name, as shares of all there was."""
+    """The score of a day and its losses by cause, as shares of the maximum of 1."""
 
     name: str
-    worth: float
+    score: float
     lost: dict[str, float]
 
     @property
-    def counts(self) -> bool:
-        """Tell whether the day is a standard one with trouble."""
-        return not self.name.startswith(LEFT_OUT)
+    def in_mean(self) -> bool:
+        """Return whether the day is a standard one with faults."""
+        return not self.name.startswith(EXCLUDED_PREFIXES)
 
 
 def read_days(entry: str) -> list[DayShares]:
-    """Return the shares of each day of an entry (the text of its file)."""
+    """Return the shares of each day in ``entry``, the JSON text of a journal entry."""
     return [_read_day(day) for day in json.loads(entry)["days"]]
 
 
 def render(days: list[DayShares]) -> str:
-    """Return a table of the days and the mean of the standard ones with trouble."""
+    """Return a table of the days, with the mean of the standard days with faults."""
     names = sorted(
         {name for day in days for name in day.lost},
         key=lambda name: -mean(day.lost.get(name, 0.0) for day in days),
     )
-    troubled = [day for day in days if day.counts]
+    in_mean_days = [day for day in days if day.in_mean]
     lines = [_render_row("", [day.name for day in days], "mean")]
-    worths = [f"{day.worth:.3f}" for day in days]
-    lines.append(_render_row("worth", worths, f"{mean(d.worth for d in troubled):.3f}"))
+    scores = [f"{day.score:.3f}" for day in days]
+    lines.append(
+        _render_row("worth", scores, f"{mean(d.score for d in in_mean_days):.3f}")
+    )
     for name in names:
         values = [f"{day.lost.get(name, 0.0):.3f}" for day in days]
-        total = mean(day.lost.get(name, 0.0) for day in troubled)
+        total = mean(day.lost.get(name, 0.0) for day in in_mean_days)
         lines.append(_render_row(name, values, f"{total:.3f}"))
     return "\n".join(lines)
 
@@ -59,7 +62,7 @@
     for name, weight, reached in day["parts"]:
         lost[name] += weight / weights * (1 - reached)
     for name, _, price in day["prices"]:
-        lost[name if price >= LEAST_SHARE else "other prices"] += price
+        lost[name if price >= MIN_LISTED_PRICE else "other prices"] += price
     return DayShares(day["name"], day["G"], dict(lost))
 
 
@@ -69,7 +72,7 @@
 
 
 def main() -> None:
-    """Print the table of each entry that is named."""
+    """Print a table for each journal entry file given as an argument."""
     for name in sys.argv[1:]:
         print(render(read_days(Path(name).read_text())))
 
--- a/measure/urgent.py
+++ b/measure/urgent.py
@@ -1,4 +1,4 @@
-"""Print how soon urgent and guaranteed work starts in a full hall, as a whole."""
+"""Print how soon urgent and guaranteed gangs start in a full hall, end to end."""
 
 import asyncio
 import time
--- a/measure/workload.py
+++ b/measure/workload.py
@@ -1,4 +1,4 @@
-"""Make seeded workloads of jobs for the replay."""
+"""Generate seeded workloads of jobs for the replay."""
 
 import random
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 __all__ = ["Arrival", "Workload", "make_workload"]
 
 HALL = "hall"
-WORST_DECLARATION = 10.0
+MAX_DECLARATION_ERROR = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Hold one job, when it comes, how long it runs and when it is cancelled."""
+    """A job with its arrival time, run time and cancellation time, in seconds."""
 
     at_s: float
     spec: JobSpec
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """Hold the jobs of one run and the cluster that they meet."""
+    """The jobs of one run, the customers, and the workers that fail every task."""
 
     arrivals: tuple[Arrival, ...]
     customers: dict[str, CustomerSpec]
-    bad_workers: tuple[str, ...]
+    failing_workers: tuple[str, ...]
     end_s: float
 
 
@@ -46,9 +46,9 @@
 ) -> Workload:
     """Return a workload that asks for ``load`` of the accelerators on average.
 
-    Declared run times are wrong by up to ten times either way; small jobs and
-    large ones come in bursts, waves of cancellations come, guarantees are claimed
-    while the cluster is full, and one worker fails every task.
+    Declared run times are too long or too short by a factor of up to ten. Jobs of
+    all sizes arrive in bursts, small jobs are cancelled in waves, guarantees are
+    claimed while the cluster is full, and one worker fails every task.
     """
     rng = random.Random(seed)
     capacity = workers * accelerators * end_s * load
@@ -64,8 +64,8 @@
     arrivals = _cancel_waves(rng, arrivals, end_s)
     arrivals += _make_claims(rng, end_s)
     arrivals.sort(key=lambda arrival: arrival.at_s)
-    bad = (f"w{rng.randrange(workers)}",)
-    return Workload(tuple(arrivals), _make_customers(), bad, end_s)
+    failing = (f"w{rng.randrange(workers)}",)
+    return Workload(tuple(arrivals), _make_customers(), failing, end_s)
 
 
 def _make_customers() -> dict[str, CustomerSpec]:
@@ -86,7 +86,7 @@
 
 def _make_arrival(rng, kind, number, at_s, members, size, adjacency, runs) -> Arrival:
     run_s = rng.uniform(*runs)
-    wrong = WORST_DECLARATION ** rng.uniform(-1, 1)
+    error_factor = MAX_DECLARATION_ERROR ** rng.uniform(-1, 1)
     spec = JobSpec(
         job_id=f"{kind}-{number}",
         customer=f"c{rng.randrange(3)}",
@@ -94,7 +94,7 @@
         accelerators=size,
         adjacency=adjacency,
         kind=kind,
-        declared_s=run_s * wrong,
+        declared_s=run_s * error_factor,
     )
     return Arrival(at_s, spec, kind, run_s)
 
@@ -105,8 +105,8 @@
     for arrival in arrivals:
         cancel_s = None
         for wave_s in waves:
-            near = 0 < wave_s - arrival.at_s < 120
-            if near and arrival.kind == "small" and rng.random() < 0.5:
+            soon_after_arrival = 0 < wave_s - arrival.at_s < 120
+            if soon_after_arrival and arrival.kind == "small" and rng.random() < 0.5:
                 cancel_s = wave_s
         changed.append(
             Arrival(arrival.at_s, arrival.spec, arrival.kind, arrival.run_s, cancel_s)
--- a/tests/test_measure_logs.py
+++ b/tests/test_measure_logs.py
@@ -1,4 +1,4 @@
-"""Check what the tables of a day are made of."""
+"""Check the figures that are read from logs and journal entries."""
 
 import json
 
@@ -19,13 +19,13 @@
     jobs = read_jobs(LINES.splitlines())
     assert list(jobs) == ["a"]
     job = jobs["a"]
-    assert job.hops == {
+    assert job.stage_times_s == {
         "accepted": 1.0,
         "decided": 2.0,
         "last start": 2.0,
         "ended": 4.0,
     }
-    assert (job.priority, job.tasks, job.starts, job.caused) == ("0", 2, 2, 3)
+    assert (job.priority, job.tasks, job.starts, job.preempted_others) == ("0", 2, 2, 3)
     assert job.waits == {"firm: too little room": 1}
     text = render(jobs)
     assert "priority 0: 1 jobs, 1 ended" in text
@@ -47,6 +47,6 @@
         "prices": [["calls", 9, 0.0494], ["starts", 1, 0.0006]],
     }
     (found,) = read_days(json.dumps({"days": [day]}))
-    assert found.counts
+    assert found.in_mean
     assert found.lost.keys() == {"whole day", "worst windows", "calls", "other prices"}
-    assert abs(found.worth + sum(found.lost.values()) - 1) < 1e-9
+    assert abs(found.score + sum(found.lost.values()) - 1) < 1e-9
