--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -42,9 +42,9 @@
         for plan in args.plan
         for seed in range(args.seeds)
     ]
-    play = partial(_play, load=args.load, policy=_make_policy(args.set))
+    replay_day = partial(_replay_day, load=args.load, policy=_make_policy(args.set))
     with ProcessPoolExecutor(args.processes) as pool:
-        rows = list(pool.map(play, days))
+        rows = list(pool.map(replay_day, days))
     print(render_rows(rows))
     if args.save:
         save_rows(args.save, rows)
@@ -87,7 +87,7 @@
     return FleetPolicy(**fields)
 
 
-def _play(day: _Day, load: float, policy: FleetPolicy) -> DayRow:
+def _replay_day(day: _Day, load: float, policy: FleetPolicy) -> DayRow:
     result = replay(make_plan(day.plan, day.workers, load), day.seed, policy)
     return make_row(day.plan, day.workers, day.seed, result)
 
--- a/lab/arrivals.py
+++ b/lab/arrivals.py
@@ -27,7 +27,7 @@
     job: StagedJob
     work_s: tuple[tuple[float, ...], ...]
     cancel_s: float | None
-    hopeless: bool
+    always_fails: bool
     crashes: bool = False
 
     @property
@@ -50,14 +50,14 @@
     arrivals = []
     for kind in plan.kinds:
         times = random.Random(f"times {kind.name} {seed}")
-        shapes = random.Random(f"shapes {kind.name} {seed}")
+        shape_rng = random.Random(f"shapes {kind.name} {seed}")
         for at_s in _draw_times(plan, kind, times):
             number = len(arrivals)
-            arrivals.append(_draw_job(plan, kind, number, at_s, shapes))
-    crashing = random.Random(f"crashing {seed}")
+            arrivals.append(_draw_job(plan, kind, number, at_s, shape_rng))
+    crash_rng = random.Random(f"crashing {seed}")
     share = sum(f.share for f in plan.faults if isinstance(f, CrashingWork))
     arrivals = [
-        dataclasses.replace(one, crashes=crashing.random() < share) for one in arrivals
+        dataclasses.replace(one, crashes=crash_rng.random() < share) for one in arrivals
     ]
     return sorted(arrivals, key=lambda one: (one.at_s, one.job.job_id))
 
@@ -73,68 +73,68 @@
     return [weight / sum(weights) for weight in weights]
 
 
-def _draw_times(plan: DayPlan, kind: JobKind, chance: random.Random) -> list[float]:
+def _draw_times(plan: DayPlan, kind: JobKind, rng: random.Random) -> list[float]:
     """Thin a Poisson process of the highest rate; some jobs wait at the start."""
-    filled = round(kind.filled * plan.load)
-    times = [0.001 * number for number in range(filled)]
+    initial_jobs = round(kind.initial_jobs * plan.load)
+    times = [0.001 * number for number in range(initial_jobs)]
     bursts = [burst for burst in plan.bursts if burst.kind == kind.name]
     highest = max((burst.factor for burst in bursts), default=1.0)
     rate = kind.per_s * plan.load
     at_s = 0.0
     while True:
-        at_s += chance.expovariate(rate * highest)
+        at_s += rng.expovariate(rate * highest)
         if at_s >= plan.length_s:
             return times
         factor = max(
             (b.factor for b in bursts if b.at_s <= at_s < b.at_s + b.for_s), default=1.0
         )
-        if chance.random() < factor / highest:
+        if rng.random() < factor / highest:
             times.append(at_s)
 
 
 def _draw_job(
-    plan: DayPlan, kind: JobKind, number: int, at_s: float, chance: random.Random
+    plan: DayPlan, kind: JobKind, number: int, at_s: float, rng: random.Random
 ) -> Arrival:
     """Draw a job; the order of the draws is part of what a seed means."""
-    width = _draw_size(chance, kind.width, kind.width_spread, kind.widest)
-    mean_s = _draw_size(chance, kind.work_s, kind.work_spread, kind.longest_s)
-    steps = [_draw_step(plan, kind, max(1, round(width)), mean_s, chance)]
-    if chance.random() < kind.second_step:
+    width = _draw_size(rng, kind.width, kind.width_spread, kind.max_width)
+    mean_s = _draw_size(rng, kind.work_s, kind.work_spread, kind.max_work_s)
+    steps = [_draw_step(plan, kind, max(1, round(width)), mean_s, rng)]
+    if rng.random() < kind.second_step:
         steps.append(replace(steps[0], depends_on=(0,)))
-    work_s = tuple(_draw_work(kind, step, mean_s, chance) for step in steps)
+    work_s = tuple(_draw_work(kind, step, mean_s, rng) for step in steps)
     target_ms = round(kind.target_s * 1000)
     terms = JobTerms(SERVICE, kind.priority, kind.attempts, kind.stretch, target_ms)
     job = StagedJob(
         f"{number:016x}",
         kind.name,
-        f"c{_draw_customer(plan, chance)}",
+        f"c{_draw_customer(plan, rng)}",
         "text",
         tuple(steps),
         terms,
         round(at_s * 1000),
     )
     cancel_s = None
-    if chance.random() < kind.cancelled:
-        cancel_s = at_s + chance.uniform(0.5, 2 * mean_s)
-    return Arrival(at_s, kind, job, work_s, cancel_s, chance.random() < kind.hopeless)
+    if rng.random() < kind.cancelled:
+        cancel_s = at_s + rng.uniform(0.5, 2 * mean_s)
+    return Arrival(at_s, kind, job, work_s, cancel_s, rng.random() < kind.always_fails)
 
 
 def _draw_step(
-    plan: DayPlan, kind: JobKind, count: int, mean_s: float, chance: random.Random
+    plan: DayPlan, kind: JobKind, count: int, mean_s: float, rng: random.Random
 ) -> StepSpec:
-    estimate_s = mean_s * (1 + chance.uniform(-1, 1) * kind.estimate_off)
-    accelerators = chance.choice(kind.accelerators)
-    checkpoints = chance.random() < kind.checkpoints
-    same_rack = kind.gang and chance.random() < kind.same_rack
+    estimate_s = mean_s * (1 + rng.uniform(-1, 1) * kind.estimate_error)
+    accelerators = rng.choice(kind.accelerators)
+    checkpoints = rng.random() < kind.checkpoints
+    same_rack = kind.gang and rng.random() < kind.same_rack
     data_rack = ""
-    if chance.random() < kind.data_rack:
-        data_rack = get_rack(plan, plan.per_rack * chance.randrange(plan.racks))
+    if rng.random() < kind.data_rack:
+        data_rack = get_rack(plan, plan.per_rack * rng.randrange(plan.racks))
     spread_limit = 0
-    if chance.random() < kind.spread_limit:
-        spread_limit = chance.randint(1, 3)
+    if rng.random() < kind.spread_limit:
+        spread_limit = rng.randint(1, 3)
     label = ""
-    if kind.label and chance.random() < kind.label:
-        label = get_rack(plan, plan.per_rack * chance.randrange(plan.racks))
+    if kind.label and rng.random() < kind.label:
+        label = get_rack(plan, plan.per_rack * rng.randrange(plan.racks))
     return StepSpec(
         count=count,
         cpu_milli=kind.cpu_milli,
@@ -151,25 +151,25 @@
 
 
 def _draw_work(
-    kind: JobKind, step: StepSpec, mean_s: float, chance: random.Random
+    kind: JobKind, step: StepSpec, mean_s: float, rng: random.Random
 ) -> tuple[float, ...]:
     """Draw how long each task works, in seconds; a gang's members take as long."""
     drawn = tuple(
-        mean_s * (1 + chance.uniform(-1, 1) * kind.uneven)
+        mean_s * (1 + rng.uniform(-1, 1) * kind.task_variation)
         for _ in range(1 if step.gang else step.count)
     )
     return drawn * step.count if step.gang else drawn
 
 
-def _draw_customer(plan: DayPlan, chance: random.Random) -> int:
+def _draw_customer(plan: DayPlan, rng: random.Random) -> int:
     shares = get_shares(plan.customers)
-    return chance.choices(range(plan.customers), shares)[0]
+    return rng.choices(range(plan.customers), shares)[0]
 
 
-def _draw_size(chance: random.Random, mean: float, spread: float, most: float) -> float:
+def _draw_size(rng: random.Random, mean: float, spread: float, upper: float) -> float:
     """Draw from a log-normal distribution, cut at ``most``."""
     if not spread:
         return mean
     variance = math.log(1 + spread * spread)
-    drawn = chance.lognormvariate(math.log(mean) - variance / 2, math.sqrt(variance))
-    return min(most, max(mean / 20, drawn))
+    drawn = rng.lognormvariate(math.log(mean) - variance / 2, math.sqrt(variance))
+    return min(upper, max(mean / 20, drawn))
--- a/lab/kinds.py
+++ b/lab/kinds.py
@@ -38,10 +38,10 @@
     attempts: int
     work_s: float
     work_spread: float
-    longest_s: float
+    max_work_s: float
     width: float
     width_spread: float
-    widest: int
+    max_width: int
     cpu_milli: int
     memory_mb: int
     accelerators: tuple[int, ...]
@@ -53,11 +53,11 @@
     spread_limit: float = 0.0
     label: float = 0.0
     cancelled: float = 0.0
-    hopeless: float = 0.0
+    always_fails: float = 0.0
     fails: float = 0.0
-    estimate_off: float = 0.0
-    uneven: float = 0.0
-    filled: int = 0
+    estimate_error: float = 0.0
+    task_variation: float = 0.0
+    initial_jobs: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/lab/plans.py
+++ b/lab/plans.py
@@ -28,10 +28,10 @@
     attempts=2,
     work_s=8.5,
     work_spread=0.3,
-    longest_s=11.0,
+    max_work_s=11.0,
     width=13.0,
     width_spread=0.8,
-    widest=76,
+    max_width=76,
     cpu_milli=13_000,
     memory_mb=26_000,
     accelerators=(1, 2, 4, 8, 8),
@@ -41,9 +41,9 @@
     data_rack=0.3,
     cancelled=0.05,
     fails=0.005,
-    estimate_off=0.5,
-    uneven=0.15,
-    filled=27,
+    estimate_error=0.5,
+    task_variation=0.15,
+    initial_jobs=27,
 )
 PROOF = JobKind(
     name="proof",
@@ -56,18 +56,18 @@
     attempts=2,
     work_s=2.5,
     work_spread=0.5,
-    longest_s=8.0,
+    max_work_s=8.0,
     width=5.3,
     width_spread=0.8,
-    widest=32,
+    max_width=32,
     cpu_milli=3_700,
     memory_mb=9_800,
     accelerators=(1, 2, 4, 8, 8),
     gang=True,
     same_rack=0.8,
     fails=0.05,
-    estimate_off=0.2,
-    uneven=0.3,
+    estimate_error=0.2,
+    task_variation=0.3,
 )
 CHECK = JobKind(
     name="check",
@@ -80,10 +80,10 @@
     attempts=4,
     work_s=6.1,
     work_spread=0.3,
-    longest_s=11.0,
+    max_work_s=11.0,
     width=38.0,
     width_spread=0.8,
-    widest=230,
+    max_width=230,
     cpu_milli=2_800,
     memory_mb=4_100,
     accelerators=(1,),
@@ -92,11 +92,11 @@
     data_rack=0.12,
     spread_limit=0.12,
     cancelled=0.15,
-    hopeless=0.03,
+    always_fails=0.03,
     fails=0.02,
-    estimate_off=0.9,
-    uneven=0.15,
-    filled=31,
+    estimate_error=0.9,
+    task_variation=0.15,
+    initial_jobs=31,
 )
 CALM = DayPlan(
     name="calm",
@@ -132,17 +132,17 @@
     attempts=2,
     work_s=12.0,
     work_spread=0.3,
-    longest_s=20.0,
+    max_work_s=20.0,
     width=6.0,
     width_spread=0.5,
-    widest=20,
+    max_width=20,
     cpu_milli=13_000,
     memory_mb=26_000,
     accelerators=(1,),
     fails=0.005,
-    estimate_off=0.5,
-    uneven=0.15,
-    filled=50,
+    estimate_error=0.5,
+    task_variation=0.15,
+    initial_jobs=50,
 )
 """Two fill a worker's processor and memory and leave most of its accelerators."""
 NARROW = JobKind(
@@ -156,17 +156,17 @@
     attempts=4,
     work_s=6.0,
     work_spread=0.3,
-    longest_s=11.0,
+    max_work_s=11.0,
     width=6.0,
     width_spread=0.5,
-    widest=20,
+    max_width=20,
     cpu_milli=2_800,
     memory_mb=4_100,
     accelerators=(1,),
     fails=0.02,
-    estimate_off=0.9,
-    uneven=0.15,
-    filled=70,
+    estimate_error=0.9,
+    task_variation=0.15,
+    initial_jobs=70,
 )
 SCARCE = replace(CALM, name="scarce", kinds=(HEAVY, NARROW), guaranteed=0.75)
 """Processor and memory are scarce, accelerators are not; most are guaranteed."""
@@ -176,8 +176,8 @@
     attempts=4,
     memory_mb=34_000,
     data_rack=0.0,
-    estimate_off=0.2,
-    filled=11,
+    estimate_error=0.2,
+    initial_jobs=11,
 )
 SHIFTED_PROOF = replace(PROOF, per_s=8.61, width=5.4, memory_mb=5_500)
 SHIFTED_CHECK = replace(
@@ -187,9 +187,9 @@
     work_s=7.6,
     width=39.0,
     memory_mb=5_700,
-    uneven=0.3,
+    task_variation=0.3,
     data_rack=0.0,
-    filled=14,
+    initial_jobs=14,
 )
 SHIFTED = replace(
     CALM,
@@ -211,8 +211,8 @@
     CALM,
     name="departures",
     kinds=(
-        replace(PREVIEW, width=6.0, widest=12, spread_limit=0.3),
-        replace(PROOF, width=4.0, widest=8, spread_limit=0.3),
+        replace(PREVIEW, width=6.0, max_width=12, spread_limit=0.3),
+        replace(PROOF, width=4.0, max_width=8, spread_limit=0.3),
         replace(CHECK, spread_limit=0.6, label=0.2),
     ),
     per_rack=6,
@@ -243,7 +243,11 @@
     plan = PLANS[name]
     scale = workers / BASE_WORKERS
     kinds = tuple(
-        replace(kind, per_s=kind.per_s * scale, filled=round(kind.filled * scale))
+        replace(
+            kind,
+            per_s=kind.per_s * scale,
+            initial_jobs=round(kind.initial_jobs * scale),
+        )
         for kind in plan.kinds
     )
     return replace(plan, kinds=kinds, workers=workers, load=plan.load * load)
--- a/lab/progress.py
+++ b/lab/progress.py
@@ -13,11 +13,11 @@
 
 __all__ = ["IdleStep", "StandStill", "StandStills", "WorkerRoom", "could_run"]
 
-StillKey = tuple[str, int] | tuple[str, int, int]
+StepKey = tuple[str, int] | tuple[str, int, int]
 
-LONGEST_S = 3.0
+MAX_IDLE_S = 3.0
 """For so long work may have nothing running though it could; from the users' rules."""
-TWICE = 2
+ROOM_FACTOR = 2
 """How many times over there has to be room, and the share of all room that may be in
 use is one through as many; from the users' rules."""
 
@@ -54,7 +54,7 @@
     task: int | None = None
 
     @property
-    def key(self) -> StillKey:
+    def key(self) -> StepKey:
         """Return by what a stand-still is known."""
         whole = (self.job, self.step)
         return whole if self.task is None else (*whole, self.task)
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        longest_s: float = LONGEST_S,
+        longest_s: float = MAX_IDLE_S,
         *,
         any_rack: bool = False,
         however_full: bool = False,
@@ -93,8 +93,8 @@
         self._longest_s = longest_s
         self._any_rack = any_rack
         self._however_full = however_full
-        self._since_s: dict[StillKey, float] = {}
-        self.found: dict[StillKey, StandStill] = {}
+        self._since_s: dict[StepKey, float] = {}
+        self.found: dict[StepKey, StandStill] = {}
 
     @property
     def longest_s(self) -> float:
@@ -105,28 +105,28 @@
         self, now_s: float, rooms: Iterable[WorkerRoom], idle: Iterable[IdleStep]
     ) -> None:
         """Take what is to be seen now."""
-        view = _View(rooms)
-        standing = {one.key: one for one in idle if self._could_run(one, view)}
+        snapshot = _RoomSnapshot(rooms)
+        standing = {one.key: one for one in idle if self._could_run(one, snapshot)}
         for key in self._since_s.keys() - standing.keys():
             del self._since_s[key]
         for key, one in standing.items():
             since_s = self._since_s.setdefault(key, now_s)
             if now_s - since_s > self._longest_s:
                 still = StandStill(one.job, one.step, since_s, now_s, one.task)
-                self._keep(key, still)
+                self._keep_longest(key, still)
 
-    def _could_run(self, idle: IdleStep, view: "_View") -> bool:
+    def _could_run(self, idle: IdleStep, snapshot: "_RoomSnapshot") -> bool:
         if self._however_full:
-            return view.has_room_twice(idle)
-        return view.could_run(idle, any_rack=self._any_rack)
+            return snapshot.has_room_twice(idle)
+        return snapshot.could_run(idle, any_rack=self._any_rack)
 
-    def _keep(self, key: StillKey, still: StandStill) -> None:
+    def _keep_longest(self, key: StepKey, still: StandStill) -> None:
         known = self.found.get(key)
         if known is None or still.lasted_s > known.lasted_s:
             self.found[key] = still
 
 
-class _View:
+class _RoomSnapshot:
     """Hold all rooms of one moment; what many steps ask is counted once."""
 
     def __init__(self, rooms: Iterable[WorkerRoom]):
@@ -137,23 +137,23 @@
 
     def has_room_twice(self, idle: IdleStep) -> bool:
         """Tell whether there is room for a task twice over, for gangs as a whole."""
-        return self._count_by_rack(idle).total() >= _count_twice(idle)
+        return self._count_by_rack(idle).total() >= _get_required_slots(idle)
 
     def could_run(self, idle: IdleStep, *, any_rack: bool) -> bool:
         """Tell whether a step could run by the users' rule."""
         spec = idle.spec
-        halves = self._list_under_half(spec.need)
-        if not any(halves):
+        underused = self._find_underused(spec.need)
+        if not any(underused):
             return False
-        asks = spec.same_rack or spec.data_rack
-        if any_rack or all(halves) or not asks:
+        restricted = spec.same_rack or spec.data_rack
+        if any_rack or all(underused) or not restricted:
             return self.has_room_twice(idle)
         fitting = self._count_by_rack(idle)
         racks = [spec.data_rack] if spec.data_rack else list(fitting)
         most = max((fitting[rack] for rack in racks), default=0)
-        return most >= _count_twice(idle)
+        return most >= _get_required_slots(idle)
 
-    def _list_under_half(self, need: Resources) -> list[bool]:
+    def _find_underused(self, need: Resources) -> list[bool]:
         """Return of each resource that is needed whether at most half is in use."""
         used, total = self._used, self._total
         resources = (
@@ -161,17 +161,17 @@
             (need.memory_mb, used.memory_mb, total.memory_mb),
             (need.accelerators, used.accelerators, total.accelerators),
         )
-        return [have * TWICE <= of for wanted, have, of in resources if wanted]
+        return [have * ROOM_FACTOR <= of for wanted, have, of in resources if wanted]
 
     def _count_by_rack(self, idle: IdleStep) -> Counter[str]:
         if idle.spec.spread_limit:
-            return self._count_anew(idle)
+            return self._sum_by_rack(idle)
         key = (idle.spec.label, idle.spec.need)
         if key not in self._fitting:
-            self._fitting[key] = self._count_anew(idle)
+            self._fitting[key] = self._sum_by_rack(idle)
         return self._fitting[key]
 
-    def _count_anew(self, idle: IdleStep) -> Counter[str]:
+    def _sum_by_rack(self, idle: IdleStep) -> Counter[str]:
         fitting: Counter[str] = Counter()
         for room, free in self._rooms:
             fitting[room.rack] += _count_fitting(idle, room, free)
@@ -185,11 +185,11 @@
     is enough, but for room in other racks than those that the step was asked to run in,
     where it takes several times as long. That counts where half of all is idle.
     """
-    return _View(rooms).could_run(idle, any_rack=False)
+    return _RoomSnapshot(rooms).could_run(idle, any_rack=False)
 
 
-def _count_twice(idle: IdleStep) -> int:
-    return TWICE * (idle.spec.count if idle.spec.gang else 1)
+def _get_required_slots(idle: IdleStep) -> int:
+    return ROOM_FACTOR * (idle.spec.count if idle.spec.gang else 1)
 
 
 def _count_fitting(idle: IdleStep, room: WorkerRoom, free: Resources) -> int:
--- a/lab/replay.py
+++ b/lab/replay.py
@@ -8,9 +8,15 @@
 from lab.events import Events
 from lab.kinds import DayPlan
 from lab.progress import StandStills
-from lab.result import DayResult, account
+from lab.result import DayResult, score_day
 from lab.watch import DayWatch
-from lab.workers import LabWorkers, StopOver, WorkerCrash, WorkerLeaves, WorkOver
+from lab.workers import (
+    LabWorkers,
+    StopFinished,
+    WorkerCrash,
+    WorkerLeaves,
+    WorkFinished,
+)
 from larkhoist.codes import Code
 from larkhoist.fleet.effects import Round, StartTask, StopTask
 from larkhoist.fleet.policy import FleetPolicy
@@ -22,22 +28,22 @@
 
 __all__ = ["replay"]
 
-NOTICE_S = 0.02
+CRASH_NOTICE_S = 0.02
 """How soon a crashed worker's open call tells that it is gone."""
-BACK_S = 3.2
+RESTART_S = 3.2
 """After which another life answers at a crashed worker's address, as measured."""
 START_DELAY_S = 0.015
 """From a decision to start until the worker has the order: an append and a call."""
 STOP_DELAY_S = 0.003
 REPORT_DELAY_S = 0.005
-SHORTEST_STEP_S = 0.03
+MIN_DECISION_INTERVAL_S = 0.03
 """How soon the owner decides again at the earliest: a step and the rest after it."""
-LOOK_S = 0.25
-KEEP_S = 600.0
-LEASE_S = 10.0
+DECISION_INTERVAL_S = 0.25
+LEASE_RENEWAL_S = 600.0
+FINAL_LEASE_S = 10.0
 """After which nothing is taken to run on a worker that has gone for good."""
-SAMPLE_S = 0.5
-WATCH_S = 0.25
+SAMPLE_INTERVAL_S = 0.5
+WATCH_INTERVAL_S = 0.25
 """How often to look for what stands still: a twelfth of the time that is too long."""
 
 
@@ -68,22 +74,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Silent:
+class _CrashNoticed:
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
-class _Probed:
+class _ProbeAnswered:
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
-class _Gone:
+class _DepartureEnded:
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
-class _Back:
+class _WorkerRestarted:
     worker: str
 
 
@@ -120,39 +126,39 @@
         self._failed: set[str] = set()
         self._given_up: set[str] = set()
         self._listed: dict[str, ListedTaskWorker] = {}
-        self._gone_lease_end_s: dict[str, float] = {}
+        self._final_lease_end_s: dict[str, float] = {}
         self._inbox: list[_End] = []
-        self._decides_s: float | None = None
-        self._decided_s = float("-inf")
+        self._next_decision_s: float | None = None
+        self._last_decision_s = float("-inf")
         self._used: list[float] = []
-        self._took_s: list[float] = []
+        self._decision_times_s: list[float] = []
 
     def run(self) -> DayResult:
         plan = self._plan
         self._list_workers()
         for arrival in self._arrivals:
-            self._workers.know(arrival)
+            self._workers.add_arrival(arrival)
             self._events.add(arrival.at_s, _Arrive(arrival))
             if arrival.cancel_s is not None:
                 self._events.add(arrival.cancel_s, _Cancel(arrival.job.job_id))
         self._events.add(0.0, _Sample())
         self._events.add(0.0, _Watch())
-        self._ask_decision(0.0)
+        self._schedule_decision(0.0)
         while self._events.get_next_s() <= plan.length_s + plan.finish_s:
             now_s, event = self._events.pop()
             self._handle(event, now_s)
-        result = account(
+        result = score_day(
             plan, self._arrivals, self._ended_s, self._failed, self._began_s
         )
         result.waste = self._workers.waste
-        innocent = {a.job.job_id for a in self._arrivals if not a.crashes}
-        result.given_up = len(self._given_up & innocent)
+        not_crashing = {a.job.job_id for a in self._arrivals if not a.crashes}
+        result.given_up = len(self._given_up & not_crashing)
         result.stills = self._stills
         result.full_stills = self._full_stills
         result.used = self._used
-        result.decisions = len(self._took_s)
-        result.took_s = sum(self._took_s)
-        result.longest_s = max(self._took_s, default=0.0)
+        result.decisions = len(self._decision_times_s)
+        result.took_s = sum(self._decision_times_s)
+        result.longest_s = max(self._decision_times_s, default=0.0)
         return result
 
     def _list_workers(self) -> None:
@@ -186,29 +192,29 @@
                 self._start(order, now_s)
                 return
             case WorkerCrash(worker):
-                if self._workers.take_crash(worker, now_s):
-                    self._events.add(now_s + NOTICE_S, _Silent(worker))
-                    self._events.add(now_s + BACK_S, _Back(worker))
+                if self._workers.end_worker(worker, now_s):
+                    self._events.add(now_s + CRASH_NOTICE_S, _CrashNoticed(worker))
+                    self._events.add(now_s + RESTART_S, _WorkerRestarted(worker))
                 return
-            case _Silent(worker):
+            case _CrashNoticed(worker):
                 self._scheduler.note_silent(worker, now_s)
-            case _Probed(worker):
+            case _ProbeAnswered(worker):
                 if not self._workers.is_dead(worker):
                     self._scheduler.note_heard(worker, now_s)
-            case _Back(worker):
+            case _WorkerRestarted(worker):
                 self._replace_worker(worker, now_s)
             case WorkerLeaves(worker, serves_on_s):
                 self._begin_departure(worker, serves_on_s, now_s)
-            case _Gone(worker):
+            case _DepartureEnded(worker):
                 self._end_departure(worker, now_s)
             case _Stop(order):
                 self._workers.stop(order, now_s)
                 return
-            case WorkOver():
-                self._workers.take_work_over(event, now_s)
+            case WorkFinished():
+                self._workers.finish_work(event, now_s)
                 return
-            case StopOver():
-                self._workers.take_stop_over(event, now_s)
+            case StopFinished():
+                self._workers.finish_stop(event, now_s)
                 return
             case _End():
                 self._inbox.append(event)
@@ -217,12 +223,12 @@
                 return
             case _Watch():
                 self._watch.look(self._listed.values(), now_s)
-                self._events.add(now_s + WATCH_S, _Watch())
+                self._events.add(now_s + WATCH_INTERVAL_S, _Watch())
                 return
             case _Decide():
                 self._decide(now_s)
                 return
-        self._ask_decision(now_s)
+        self._schedule_decision(now_s)
 
     def _start(self, order: StartTask, now_s: float) -> None:
         if self._workers.is_dead(order.worker):
@@ -256,11 +262,11 @@
             self._listed[worker], leaving=True, remaining_s=serves_on_s
         )
         self._scheduler.take_list(self._listed.values(), now_s)
-        self._events.add(now_s + serves_on_s, _Gone(worker))
+        self._events.add(now_s + serves_on_s, _DepartureEnded(worker))
 
     def _end_departure(self, worker: str, now_s: float) -> None:
-        self._workers.take_crash(worker, now_s)
-        self._gone_lease_end_s[worker] = now_s + LEASE_S
+        self._workers.end_worker(worker, now_s)
+        self._final_lease_end_s[worker] = now_s + FINAL_LEASE_S
         self._listed.pop(worker, None)
         self._scheduler.take_list(self._listed.values(), now_s)
         self._scheduler.note_silent(worker, now_s)
@@ -273,35 +279,37 @@
         self._watch.note_end(ended)
         self._events.add(now_s + REPORT_DELAY_S, _End(worker, ended))
 
-    def _ask_decision(self, now_s: float) -> None:
-        at_s = max(now_s, self._decided_s + SHORTEST_STEP_S)
-        if self._decides_s is None or at_s < self._decides_s:
-            self._decides_s = at_s
+    def _schedule_decision(self, now_s: float) -> None:
+        at_s = max(now_s, self._last_decision_s + MIN_DECISION_INTERVAL_S)
+        if self._next_decision_s is None or at_s < self._next_decision_s:
+            self._next_decision_s = at_s
             self._events.add(at_s, _Decide())
 
     def _decide(self, now_s: float) -> None:
-        if self._decides_s is None or now_s < self._decides_s:
+        if self._next_decision_s is None or now_s < self._next_decision_s:
             return
-        self._decides_s = None
-        self._decided_s = now_s
+        self._next_decision_s = None
+        self._last_decision_s = now_s
         now_ms = round(now_s * 1000)
         began_s = time.perf_counter()
-        self._keep_leases(now_s)
+        self._renew_leases(now_s)
         for end in self._inbox:
             report = WorkerReport(now_ms, (), (end.ended,), whole=False)
             self._scheduler.take_report(end.worker, report, now_s, now_s, now_ms)
         self._inbox = []
         decided = self._scheduler.decide(now_s, now_ms)
-        self._took_s.append(time.perf_counter() - began_s)
-        self._carry_out(decided, now_s)
-        self._ask_decision(now_s + (0.0 if self._scheduler.has_more else LOOK_S))
+        self._decision_times_s.append(time.perf_counter() - began_s)
+        self._apply(decided, now_s)
+        self._schedule_decision(
+            now_s + (0.0 if self._scheduler.has_more else DECISION_INTERVAL_S)
+        )
 
-    def _keep_leases(self, now_s: float) -> None:
+    def _renew_leases(self, now_s: float) -> None:
         for worker in self._scheduler.state.workers.values():
-            renewed_s = now_s + KEEP_S
-            worker.lease_end_s = self._gone_lease_end_s.get(worker.name, renewed_s)
+            renewed_s = now_s + LEASE_RENEWAL_S
+            worker.lease_end_s = self._final_lease_end_s.get(worker.name, renewed_s)
 
-    def _carry_out(self, decided: Round, now_s: float) -> None:
+    def _apply(self, decided: Round, now_s: float) -> None:
         for record in decided.records:
             if isinstance(record, JobOutcome):
                 self._ended_s[record.job_id] = now_s
@@ -313,7 +321,7 @@
                 self._given_up.add(note.fields["job"])
                 self._watch.close_job(note.fields["job"])
         for name in decided.probes:
-            self._events.add(now_s + REPORT_DELAY_S, _Probed(name))
+            self._events.add(now_s + REPORT_DELAY_S, _ProbeAnswered(name))
         for order in decided.starts:
             self._events.add(now_s + START_DELAY_S, _Start(order))
         for order in decided.stops:
@@ -326,7 +334,7 @@
         used = sum(worker.used.accelerators for worker in workers)
         total = self._plan.workers * self._plan.room.accelerators
         self._used.append(used / total)
-        self._events.add(now_s + SAMPLE_S, _Sample())
+        self._events.add(now_s + SAMPLE_INTERVAL_S, _Sample())
 
 
 def replay(plan: DayPlan, seed: int, policy: FleetPolicy) -> DayResult:
--- a/lab/result.py
+++ b/lab/result.py
@@ -24,7 +24,7 @@
 class KindResult:
     """Hold what one kind owed and earned, and its waits in seconds."""
 
-    owed: float = 0.0
+    attainable: float = 0.0
     earned: float = 0.0
     jobs: int = 0
     in_time: int = 0
@@ -34,7 +34,7 @@
     @property
     def served(self) -> float:
         """Return the share of worth that was earned."""
-        return self.earned / self.owed if self.owed else 1.0
+        return self.earned / self.attainable if self.attainable else 1.0
 
 
 @dataclass(slots=True)
@@ -62,13 +62,13 @@
     @property
     def whole_day(self) -> float:
         """Return the share of the day's worth that was earned."""
-        owed = sum(kind.owed for kind in self.kinds.values())
-        return sum(kind.earned for kind in self.kinds.values()) / owed
+        attainable = sum(kind.attainable for kind in self.kinds.values())
+        return sum(kind.earned for kind in self.kinds.values()) / attainable
 
     @property
     def worst_customers(self) -> float:
         """Return the share that the worst tenth of the customers earned."""
-        shares = sorted(one.served for one in self.customers.values() if one.owed)
+        shares = sorted(one.served for one in self.customers.values() if one.attainable)
         worst = shares[: max(1, len(shares) // 10)]
         return sum(worst) / len(worst)
 
@@ -93,7 +93,7 @@
         return parts / 1.16 - self.wasted
 
 
-def account(
+def score_day(
     plan: DayPlan,
     arrivals: list[Arrival],
     ended_s: dict[str, float],
@@ -114,17 +114,17 @@
             1 - SIZE_SHARE + SIZE_SHARE * arrival.core_s / sizes[arrival.kind.name],
         )
         earned, late = _get_earned(arrival, ended_s.get(job_id), job_id in failed)
-        for account_of in (
+        for total in (
             result.kinds[arrival.kind.name],
             customers[arrival.job.customer],
         ):
-            account_of.owed += size * arrival.kind.worth
-            account_of.earned += size * earned
-            account_of.jobs += 1
-            account_of.in_time += earned > 0 and not late
-            account_of.late += late
+            total.attainable += size * arrival.kind.worth
+            total.earned += size * earned
+            total.jobs += 1
+            total.in_time += earned > 0 and not late
+            total.late += late
             if job_id in began_s:
-                account_of.waits_s.append(began_s[job_id] - arrival.at_s)
+                total.waits_s.append(began_s[job_id] - arrival.at_s)
     result.customers = dict(customers)
     return result
 
@@ -139,7 +139,7 @@
 def _get_earned(arrival: Arrival, ended_s: float | None, failed: bool):
     """Return what a job of mean size earned, and whether it was late."""
     kind = arrival.kind
-    if ended_s is None or (failed and not arrival.hopeless):
+    if ended_s is None or (failed and not arrival.always_fails):
         return 0.0, False
     objective_s = kind.stretch * arrival.chain_s + kind.target_s
     took_s = ended_s - arrival.at_s
--- a/lab/watch.py
+++ b/lab/watch.py
@@ -43,7 +43,7 @@
 
         What began and ended since the last look counts as running.
         """
-        running = self._workers.take_begun()
+        running = self._workers.pop_started_jobs()
         used: dict[str, Resources] = defaultdict(Resources)
         for job_id, worker, need in self._workers.iter_runs():
             running.add(job_id)
@@ -51,7 +51,7 @@
         rooms = [
             WorkerRoom(one.name, one.rack, one.labels, one.capacity, used[one.name])
             for one in listed
-            if self._workers.is_sound(one.name, now_s)
+            if self._workers.is_healthy(one.name, now_s)
         ]
         idle = list(self._iter_idle(running))
         for stills in self._watched:
--- a/lab/workers.py
+++ b/lab/workers.py
@@ -22,10 +22,10 @@
 
 __all__ = ["LabWorkers", "Waste", "WorkerCrash", "WorkerLeaves"]
 
-CRASHES_AFTER_S = 0.01
+CRASH_DELAY_S = 0.01
 """How soon work that crashes its worker does so, as seen on the users' machines."""
 
-FAILS_AFTER_S = 0.5
+FAILURE_DELAY_S = 0.5
 """How long a task runs on a worker that fails all that it starts."""
 
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Team:
+class RunGroup:
     """Hold the runs that work together: those of a gang, or a single one.
 
     ``restored_s`` is the work that a checkpoint spared.
@@ -52,21 +52,21 @@
     arrival: Arrival
     step: int
     runs: dict[str, Run] = field(default_factory=dict)
-    works_since_s: float | None = None
+    working_since_s: float | None = None
     restored_s: float = 0.0
     fails: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class WorkOver:
+class WorkFinished:
     """Tell that a team's work is over, unless it was broken off before."""
 
     key: tuple[str, int]
-    team: Team
+    group: RunGroup
 
 
 @dataclass(frozen=True, slots=True)
-class StopOver:
+class StopFinished:
     """Tell that a stop has taken effect."""
 
     run: Run
@@ -102,7 +102,7 @@
     failed: int = 0
 
 
-def get_number(worker: str) -> int:
+def get_worker_number(worker: str) -> int:
     """Return the place of a worker; its later lives have it too."""
     return int(worker[1:].partition(".")[0])
 
@@ -114,38 +114,41 @@
         self._plan = plan
         self._events = events
         self._report = report
-        self._chance = random.Random(f"workers {seed}")
-        self._teams: dict[tuple[str, int], Team] = {}
+        self._rng = random.Random(f"workers {seed}")
+        self._groups: dict[tuple[str, int], RunGroup] = {}
         self._runs: dict[tuple[str, int], Run] = {}
-        self._kept_s: dict[str, float] = {}
+        self._checkpointed_s: dict[str, float] = {}
         self._numbers: dict[str, int] = {}
         self._arrivals: dict[str, Arrival] = {}
         self._stopped: dict[str, int] = {}
         self.waste = Waste()
-        paces = random.Random(f"speeds {seed}")
-        self._speeds = [paces.choice(plan.speeds) for _ in range(plan.workers)]
+        speed_rng = random.Random(f"speeds {seed}")
+        self._speeds = [speed_rng.choice(plan.speeds) for _ in range(plan.workers)]
         self._dead: set[str] = set()
-        self._begun: set[str] = set()
+        self._started_jobs: set[str] = set()
         self._leaving: set[str] = set()
-        self._plan_departures(seed)
-        faulty = random.Random(f"faults {seed}")
-        self._hit = [
-            (fault, {n for n in range(plan.workers) if faulty.random() < fault.share})
+        self._schedule_departures(seed)
+        fault_rng = random.Random(f"faults {seed}")
+        self._faulty = [
+            (
+                fault,
+                {n for n in range(plan.workers) if fault_rng.random() < fault.share},
+            )
             for fault in plan.faults
             if isinstance(fault, SlowWorkers | FailingWorkers)
         ]
 
-    def _plan_departures(self, seed: int) -> None:
-        chance = random.Random(f"departures {seed}")
+    def _schedule_departures(self, seed: int) -> None:
+        rng = random.Random(f"departures {seed}")
         for fault in self._plan.faults:
             if not isinstance(fault, LeavingWorkers):
                 continue
             workers = self._plan.workers
-            for number in chance.sample(range(workers), round(fault.share * workers)):
-                at_s = fault.at_s + chance.uniform(0.0, fault.for_s)
+            for number in rng.sample(range(workers), round(fault.share * workers)):
+                at_s = fault.at_s + rng.uniform(0.0, fault.for_s)
                 self._events.add(at_s, WorkerLeaves(f"w{number}", fault.serves_on_s))
 
-    def know(self, arrival: Arrival) -> None:
+    def add_arrival(self, arrival: Arrival) -> None:
         """Take in what a job's tasks really take."""
         self._arrivals[arrival.job.job_id] = arrival
 
@@ -164,19 +167,19 @@
         arrival = self._arrivals[job_id]
         spec = arrival.job.steps[int(step)]
         key = (phase if spec.gang else order.task, order.attempt)
-        team = self._teams.get(key)
-        if team is None:
+        group = self._groups.get(key)
+        if group is None:
             size = spec.count if spec.gang else 1
-            team = self._teams[key] = Team(size, arrival, int(step))
+            group = self._groups[key] = RunGroup(size, arrival, int(step))
         run = Run(order.task, order.attempt, order.worker, now_s)
-        team.runs[order.task] = run
+        group.runs[order.task] = run
         self._runs[(order.task, order.attempt)] = run
-        self._begun.add(job_id)
+        self._started_jobs.add(job_id)
         if arrival.crashes and order.task.endswith(".0.0.0"):
             crash = WorkerCrash(order.worker)
-            self._events.add(now_s + CRASHES_AFTER_S, crash)
-        if len(team.runs) == team.size:
-            self._begin_work(key, team, bool(order.checkpoint), now_s)
+            self._events.add(now_s + CRASH_DELAY_S, crash)
+        if len(group.runs) == group.size:
+            self._begin_work(key, group, bool(order.checkpoint), now_s)
         return True
 
     def stop(self, order: StopTask, now_s: float) -> None:
@@ -187,17 +190,17 @@
         if run is None or run.stopping:
             return
         run.stopping = True
-        took_s = self._plan.stop_s * self._chance.uniform(0.2, 1.0)
-        self._events.add(now_s + took_s, StopOver(run))
+        took_s = self._plan.stop_s * self._rng.uniform(0.2, 1.0)
+        self._events.add(now_s + took_s, StopFinished(run))
 
     def is_dead(self, worker: str) -> bool:
         """Tell whether a worker has crashed; its next life has another name."""
         return worker in self._dead
 
-    def is_sound(self, worker: str, now_s: float) -> bool:
+    def is_healthy(self, worker: str, now_s: float) -> bool:
         """Tell whether a worker lives, stays and does not fail all that it starts."""
-        goes = worker in self._dead or worker in self._leaving
-        return not goes and not self._is_failing(worker, now_s)
+        ends = worker in self._dead or worker in self._leaving
+        return not ends and not self._is_failing(worker, now_s)
 
     def note_leaving(self, worker: str) -> None:
         """Take in that a worker leaves for good."""
@@ -205,150 +208,152 @@
 
     def iter_runs(self) -> Iterator[tuple[str, str, Resources]]:
         """Yield the job, the worker and the need of each run."""
-        for team in self._teams.values():
-            job = team.arrival.job
-            need = job.steps[team.step].need
-            for run in team.runs.values():
+        for group in self._groups.values():
+            job = group.arrival.job
+            need = job.steps[group.step].need
+            for run in group.runs.values():
                 yield job.job_id, run.worker, need
 
-    def take_begun(self) -> set[str]:
+    def pop_started_jobs(self) -> set[str]:
         """Return the jobs of which a run began since the last call."""
-        begun, self._begun = self._begun, set()
+        begun, self._started_jobs = self._started_jobs, set()
         return begun
 
-    def take_crash(self, worker: str, now_s: float) -> bool:
+    def end_worker(self, worker: str, now_s: float) -> bool:
         """End a worker and all that runs there, unheard; False where it had ended."""
         if worker in self._dead:
             return False
         self._dead.add(worker)
         self.waste.crashes += worker not in self._leaving
-        for key, team in list(self._teams.items()):
-            lost = [run for run in team.runs.values() if run.worker == worker]
+        for key, group in list(self._groups.items()):
+            lost = [run for run in group.runs.values() if run.worker == worker]
             if lost:
-                self._lose(key, team, lost, now_s)
+                self._end_lost_runs(key, group, lost, now_s)
         return True
 
-    def _lose(self, key, team: Team, lost: list[Run], now_s: float) -> None:
+    def _end_lost_runs(
+        self, key, group: RunGroup, lost: list[Run], now_s: float
+    ) -> None:
         for run in lost:
-            del team.runs[run.task]
+            del group.runs[run.task]
             del self._runs[(run.task, run.attempt)]
-            if not team.arrival.crashes:
+            if not group.arrival.crashes:
                 self.waste.lost += 1
-                self._count_waste(team, run, EndKind.BROKEN, now_s)
-        if team.works_since_s is not None:
-            for other in list(team.runs.values()):
-                del team.runs[other.task]
-                self._end(team, other, EndKind.BROKEN, now_s)
-        if not team.runs or team.works_since_s is not None:
-            del self._teams[key]
-
-    def take_work_over(self, event: WorkOver, now_s: float) -> None:
+                self._count_waste(group, run, EndKind.BROKEN, now_s)
+        if group.working_since_s is not None:
+            for other in list(group.runs.values()):
+                del group.runs[other.task]
+                self._end(group, other, EndKind.BROKEN, now_s)
+        if not group.runs or group.working_since_s is not None:
+            del self._groups[key]
+
+    def finish_work(self, event: WorkFinished, now_s: float) -> None:
         """End a team whose work is over."""
-        if self._teams.get(event.key) is not event.team:
+        if self._groups.get(event.key) is not event.group:
             return
-        del self._teams[event.key]
-        runs = list(event.team.runs.values())
-        failing = runs[0] if event.team.fails else None
+        del self._groups[event.key]
+        runs = list(event.group.runs.values())
+        failing = runs[0] if event.group.fails else None
         for run in runs:
             kind = EndKind.DONE
             if failing is not None:
                 kind = EndKind.FAILED if run is failing else EndKind.BROKEN
-            self._end(event.team, run, kind, now_s)
+            self._end(event.group, run, kind, now_s)
 
-    def take_stop_over(self, event: StopOver, now_s: float) -> None:
+    def finish_stop(self, event: StopFinished, now_s: float) -> None:
         """End a run that was stopped, and with it the rest of its gang."""
         run = event.run
         if (run.task, run.attempt) not in self._runs:
             return
         phase, _, _ = run.task.rpartition(".")
         key = (run.task, run.attempt)
-        if key not in self._teams:
+        if key not in self._groups:
             key = (phase, run.attempt)
-        team = self._teams[key]
-        self._keep(team, run, now_s)
-        del team.runs[run.task]
-        self._end(team, run, EndKind.STOPPED, now_s)
-        if team.works_since_s is not None:
-            for other in list(team.runs.values()):
+        group = self._groups[key]
+        self._save_progress(group, run, now_s)
+        del group.runs[run.task]
+        self._end(group, run, EndKind.STOPPED, now_s)
+        if group.working_since_s is not None:
+            for other in list(group.runs.values()):
                 if not other.stopping:
-                    del team.runs[other.task]
-                    self._end(team, other, EndKind.BROKEN, now_s)
-        if not team.runs:
-            del self._teams[key]
+                    del group.runs[other.task]
+                    self._end(group, other, EndKind.BROKEN, now_s)
+        if not group.runs:
+            del self._groups[key]
 
     # Details.
 
-    def _begin_work(self, key, team: Team, restored: bool, now_s: float) -> None:
-        team.works_since_s = now_s
-        runs = list(team.runs.values())
-        factor = self._get_factor(team, runs, now_s)
-        kept_s = max(self._kept_s.get(run.task, 0.0) for run in runs)
-        kept_s = kept_s if restored else 0.0
+    def _begin_work(self, key, group: RunGroup, restored: bool, now_s: float) -> None:
+        group.working_since_s = now_s
+        runs = list(group.runs.values())
+        factor = self._get_factor(group, runs, now_s)
+        checkpointed_s = max(self._checkpointed_s.get(run.task, 0.0) for run in runs)
+        checkpointed_s = checkpointed_s if restored else 0.0
         index = int(runs[0].task.rpartition(".")[2])
-        work_s = team.arrival.work_s[team.step][index] - kept_s
-        team.restored_s = kept_s
+        work_s = group.arrival.work_s[group.step][index] - checkpointed_s
+        group.restored_s = checkpointed_s
         took_s = work_s * factor + (self._plan.restore_s if restored else 0.0)
         for run in runs:
             run.factor = factor
-        team.fails = self._draw_failure(team, runs, now_s)
-        if team.fails:
+        group.fails = self._draw_failure(group, runs, now_s)
+        if group.fails:
             broken = any(self._is_failing(run.worker, now_s) for run in runs)
-            took_s = FAILS_AFTER_S if broken else took_s * self._chance.random()
-        self._events.add(now_s + max(0.01, took_s), WorkOver(key, team))
+            took_s = FAILURE_DELAY_S if broken else took_s * self._rng.random()
+        self._events.add(now_s + max(0.01, took_s), WorkFinished(key, group))
 
-    def _draw_failure(self, team: Team, runs: list[Run], now_s: float) -> bool:
-        drawn = self._chance.random() < team.arrival.kind.fails
-        if team.arrival.hopeless:
+    def _draw_failure(self, group: RunGroup, runs: list[Run], now_s: float) -> bool:
+        drawn = self._rng.random() < group.arrival.kind.fails
+        if group.arrival.always_fails:
             return True
         return drawn or any(self._is_failing(run.worker, now_s) for run in runs)
 
     def _is_failing(self, worker: str, now_s: float) -> bool:
-        number = get_number(worker)
+        number = get_worker_number(worker)
         return any(
             isinstance(fault, FailingWorkers)
-            and number in hit
+            and number in affected
             and fault.at_s <= now_s < fault.at_s + fault.for_s
-            for fault, hit in self._hit
+            for fault, affected in self._faulty
         )
 
-    def _get_factor(self, team: Team, runs: list[Run], now_s: float) -> float:
-        spec = team.arrival.job.steps[team.step]
-        racks = {get_number(run.worker) // self._plan.per_rack for run in runs}
+    def _get_factor(self, group: RunGroup, runs: list[Run], now_s: float) -> float:
+        spec = group.arrival.job.steps[group.step]
+        racks = {get_worker_number(run.worker) // self._plan.per_rack for run in runs}
         factor = 1.0
         if spec.same_rack and len(racks) > 1:
             factor *= self._plan.far_factor
         if spec.data_rack and any(f"r{rack}" != spec.data_rack for rack in racks):
             factor *= self._plan.far_factor
-        slowest = max(self._speeds[get_number(run.worker)] for run in runs)
-        for fault, hit in self._hit:
+        slowest = max(self._speeds[get_worker_number(run.worker)] for run in runs)
+        for fault, affected in self._faulty:
             if not isinstance(fault, SlowWorkers):
                 continue
             if not fault.at_s <= now_s < fault.at_s + fault.for_s:
                 continue
             for run in runs:
-                number = get_number(run.worker)
-                if number in hit:
+                number = get_worker_number(run.worker)
+                if number in affected:
                     slowest = max(slowest, fault.factor * self._speeds[number])
         return factor * slowest
 
-    def _keep(self, team: Team, run: Run, now_s: float) -> None:
+    def _save_progress(self, group: RunGroup, run: Run, now_s: float) -> None:
         """Keep the progress of what writes checkpoints; the rest is thrown away."""
-        spec = team.arrival.job.steps[team.step]
-        if team.works_since_s is None:
+        spec = group.arrival.job.steps[group.step]
+        if group.working_since_s is None:
             return
         if spec.checkpoints:
-            did_s = team.restored_s + (now_s - team.works_since_s) / run.factor
-            for other in team.runs.values():
-                self._kept_s[other.task] = did_s
+            done_s = group.restored_s + (now_s - group.working_since_s) / run.factor
+            for other in group.runs.values():
+                self._checkpointed_s[other.task] = done_s
 
-    def _end(self, team: Team, run: Run, kind: EndKind, now_s: float) -> None:
+    def _end(self, group: RunGroup, run: Run, kind: EndKind, now_s: float) -> None:
         del self._runs[(run.task, run.attempt)]
-        spec = team.arrival.job.steps[team.step]
+        spec = group.arrival.job.steps[group.step]
         if kind is not EndKind.DONE:
-            self._count_waste(team, run, kind, now_s)
+            self._count_waste(group, run, kind, now_s)
         checkpoint = ""
-        if spec.checkpoints and self._kept_s.get(run.task):
-            checkpoint = f"{run.task}@{self._kept_s[run.task]:.3f}"
+        if spec.checkpoints and self._checkpointed_s.get(run.task):
+            checkpoint = f"{run.task}@{self._checkpointed_s[run.task]:.3f}"
             if spec.gang:
                 checkpoint = checkpoint.partition("@")[2]
         number = self._numbers.get(run.worker, 0) + 1
@@ -356,8 +361,10 @@
         ended = EndedTask(number, run.task, run.attempt, kind, checkpoint)
         self._report(run.worker, ended, now_s)
 
-    def _count_waste(self, team: Team, run: Run, kind: EndKind, now_s: float) -> None:
-        spec = team.arrival.job.steps[team.step]
+    def _count_waste(
+        self, group: RunGroup, run: Run, kind: EndKind, now_s: float
+    ) -> None:
+        spec = group.arrival.job.steps[group.step]
         cores = spec.cpu_milli / 1000 + 8 * spec.accelerators
         match kind:
             case EndKind.STOPPED:
--- a/tests/lab/test_watch.py
+++ b/tests/lab/test_watch.py
@@ -10,7 +10,7 @@
 from lab.kinds import FailingWorkers
 from lab.plans import make_plan
 from lab.progress import StandStills
-from lab.replay import WATCH_S, replay
+from lab.replay import WATCH_INTERVAL_S, replay
 from lab.watch import DayWatch
 from lab.workers import LabWorkers
 from larkhoist.fleet.effects import StartTask, StopTask
@@ -46,8 +46,8 @@
         terms = JobTerms("service")
         job = StagedJob(f"{number:016x}", "q", "c", "text", steps, terms, 0)
         work_s = tuple((100.0,) * step.count for step in steps)
-        arrival = Arrival(0.0, self.kind, job, work_s, None, hopeless=False)
-        self.workers.know(arrival)
+        arrival = Arrival(0.0, self.kind, job, work_s, None, always_fails=False)
+        self.workers.add_arrival(arrival)
         self.watch.open_job(arrival)
         return job.job_id
 
@@ -60,9 +60,9 @@
         self.watch.note_end(ended)
 
     def look(self, seconds: float) -> None:
-        for _ in range(round(seconds / WATCH_S)):
+        for _ in range(round(seconds / WATCH_INTERVAL_S)):
             self.watch.look(self.listed, self.now_s)
-            self.now_s += WATCH_S
+            self.now_s += WATCH_INTERVAL_S
 
 
 def make_start(task: str, worker: str) -> StartTask:
@@ -153,7 +153,7 @@
     job_id = day.submit(1, HALF)
     day.look(2.5)
     day.start(job_id, "w0")
-    day.workers.take_crash("w0", day.now_s)
+    day.workers.end_worker("w0", day.now_s)
     day.look(2.5)
     assert day.full_stills.found == {}
 
@@ -165,7 +165,7 @@
     job_id = day.submit(1, first, second)
     day.start(job_id, "w0")
     day.list_done(job_id, "0.0.1")
-    day.workers.take_crash("w0", day.now_s)
+    day.workers.end_worker("w0", day.now_s)
     day.listed.append(make_listed("w0.1"))
     day.look(5.0)
     assert list(day.full_stills.found) == [(job_id, 0)]
@@ -207,7 +207,7 @@
     day.submit(1, HALF)
     if unsound == "crashed":
         for worker in ("w0", "w1"):
-            day.workers.take_crash(worker, 0.0)
+            day.workers.end_worker(worker, 0.0)
     day.look(5.0)
     assert day.full_stills.found == {}
 
@@ -281,9 +281,9 @@
     assert not events
     for at_s, event in leaving:
         assert 2.0 <= at_s <= 10.0
-        assert workers.is_sound(event.worker, at_s)
+        assert workers.is_healthy(event.worker, at_s)
         workers.note_leaving(event.worker)
-        assert not workers.is_sound(event.worker, at_s)
+        assert not workers.is_healthy(event.worker, at_s)
     assert len({event.worker for _, event in leaving}) == len(leaving)
 
 
