--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Replay seeded days and print what they earned; ``--base`` compares in pairs."""
+"""Replay seeded days and print their scores; ``--base`` compares day by day."""
 
 import argparse
 from concurrent.futures import ProcessPoolExecutor
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Day:
-    """Name a day to be replayed."""
+    """A plan, a number of workers and a seed that select one day to replay."""
 
     plan: str
     workers: int
@@ -74,7 +74,7 @@
 
 
 def _make_policy(changes: list[str]) -> FleetPolicy:
-    """Return the policy with fields changed as FIELD=VALUE says."""
+    """Return the policy with each FIELD=VALUE of ``changes`` applied."""
     fields = {"stop_s": STOP_S, "restore_s": RESTORE_S}
     for change in changes:
         name, _, value = change.partition("=")
--- a/lab/arrivals.py
+++ b/lab/arrivals.py
@@ -1,4 +1,8 @@
-"""Draw the jobs of a day from its plan and a seed, one stream of chance a purpose."""
+"""Draw the jobs of a day from its plan and a seed.
+
+Each purpose has a random generator of its own, so that the draws for one do not
+change those for another.
+"""
 
 import dataclasses
 import math
@@ -17,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Hold a job, when it comes and what its tasks really take, by step and index.
+    """A job, its arrival time and the actual run times of its tasks.
 
-    The first task of one that ``crashes`` ends each worker that starts it.
+    ``work_s`` is indexed by step, then by task. If ``crashes`` is set, the job's first
+    task crashes each worker that starts it.
     """
 
     at_s: float
@@ -32,12 +37,12 @@
 
     @property
     def chain_s(self) -> float:
-        """Return the longest chain of work."""
+        """Return the sum over the steps of their longest task, in seconds."""
         return sum(max(step) for step in self.work_s)
 
     @property
     def core_s(self) -> float:
-        """Return all work, an accelerator counted as 8 cores."""
+        """Return all work in core-seconds; an accelerator counts as 8 cores."""
         steps = zip(self.job.steps, self.work_s, strict=True)
         return sum(
             (step.cpu_milli / 1000 + 8 * step.accelerators) * sum(work)
@@ -46,7 +51,7 @@
 
 
 def draw_arrivals(plan: DayPlan, seed: int) -> list[Arrival]:
-    """Return the jobs of a day in the order of time."""
+    """Return the jobs of a day, ordered by arrival time."""
     arrivals = []
     for kind in plan.kinds:
         times = random.Random(f"times {kind.name} {seed}")
@@ -63,18 +68,21 @@
 
 
 def get_rack(plan: DayPlan, number: int) -> str:
-    """Return the rack of a worker."""
+    """Return the rack of the worker with this number."""
     return f"r{number // plan.per_rack}"
 
 
 def get_shares(customers: int) -> list[float]:
-    """Return which part of the jobs each customer hands in; a few are large."""
+    """Return the share of the jobs that each customer submits; a few are large."""
     weights = [1 / (1 + number) for number in range(customers)]
     return [weight / sum(weights) for weight in weights]
 
 
 def _draw_times(plan: DayPlan, kind: JobKind, rng: random.Random) -> list[float]:
-    """Thin a Poisson process of the highest rate; some jobs wait at the start."""
+    """Draw arrival times by thinning a Poisson process of the highest rate.
+
+    The jobs that are queued when the day begins come first, 1 ms apart.
+    """
     initial_jobs = round(kind.initial_jobs * plan.load)
     times = [0.001 * number for number in range(initial_jobs)]
     bursts = [burst for burst in plan.bursts if burst.kind == kind.name]
@@ -95,7 +103,7 @@
 def _draw_job(
     plan: DayPlan, kind: JobKind, number: int, at_s: float, rng: random.Random
 ) -> Arrival:
-    """Draw a job; the order of the draws is part of what a seed means."""
+    """Draw a job; another order of the draws would change the day of every seed."""
     width = _draw_size(rng, kind.width, kind.width_spread, kind.max_width)
     mean_s = _draw_size(rng, kind.work_s, kind.work_spread, kind.max_work_s)
     steps = [_draw_step(plan, kind, max(1, round(width)), mean_s, rng)]
@@ -153,7 +161,7 @@
 def _draw_work(
     kind: JobKind, step: StepSpec, mean_s: float, rng: random.Random
 ) -> tuple[float, ...]:
-    """Draw how long each task works, in seconds; a gang's members take as long."""
+    """Draw the run time of each task in seconds; all tasks of a gang take the same."""
     drawn = tuple(
         mean_s * (1 + rng.uniform(-1, 1) * kind.task_variation)
         for _ in range(1 if step.gang else step.count)
@@ -167,7 +175,7 @@
 
 
 def _draw_size(rng: random.Random, mean: float, spread: float, upper: float) -> float:
-    """Draw from a log-normal distribution, cut at ``most``."""
+    """Draw from a log-normal distribution, cut at ``upper``."""
     if not spread:
         return mean
     variance = math.log(1 + spread * spread)
--- a/lab/events.py
+++ b/lab/events.py
@@ -1,4 +1,4 @@
-"""Hold what is to happen, in the order of time."""
+"""Provide the event queue of the simulation."""
 
 import heapq
 import itertools
@@ -7,7 +7,7 @@
 
 
 class Events:
-    """Hold events; those of one time come in the order in which they were added."""
+    """A queue ordered by time; events of equal time stay in insertion order."""
 
     def __init__(self):
         self._heap: list[tuple[float, int, object]] = []
@@ -17,14 +17,14 @@
         return bool(self._heap)
 
     def add(self, at_s: float, event: object) -> None:
-        """Have an event happen at a time."""
+        """Schedule an event at ``at_s``, in seconds."""
         heapq.heappush(self._heap, (at_s, next(self._numbers), event))
 
     def get_next_s(self) -> float:
-        """Return when the next event happens, infinity if there is none."""
+        """Return the time of the next event in seconds, infinity if there is none."""
         return self._heap[0][0] if self._heap else float("inf")
 
     def pop(self) -> tuple[float, object]:
-        """Take out the next event and its time."""
+        """Remove the next event and return it with its time."""
         at_s, _, event = heapq.heappop(self._heap)
         return at_s, event
--- a/lab/kinds.py
+++ b/lab/kinds.py
@@ -1,4 +1,4 @@
-"""Describe the kinds of job that a day asks for and the workers that it meets."""
+"""Describe the job kinds, workers and faults of a simulated day."""
 
 import math
 from dataclasses import dataclass, field
@@ -19,13 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobKind:
-    """Describe one kind of job; times are in seconds, shares between 0 and 1.
-
-    ``worth`` is what a job of mean size earns in time, ``late_worth`` late. Objectives
-    are ``stretch`` times the longest chain of work plus ``target_s``. ``work_spread``
-    and ``width_spread`` are standard deviations over means. ``estimate_off`` bounds
-    the relative error of what submitters declare, ``uneven`` how far the tasks of one
-    job differ. ``filled`` jobs wait when the day begins.
+    """One kind of job; times are in seconds, shares between 0 and 1.
+
+    ``worth`` is what a job of mean size earns if it ends within its objective,
+    ``late_worth`` if it ends late. The objective is ``stretch`` times the longest chain
+    of work plus ``target_s``. ``work_spread`` and ``width_spread`` are standard
+    deviations divided by means. ``estimate_error`` bounds the relative error of the
+    declared estimates, ``task_variation`` how far the tasks of one job differ.
+    ``initial_jobs`` is the number of jobs queued when the day begins.
     """
 
     name: str
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """Name a time in which one kind comes ``factor`` times as often."""
+    """A period in which jobs of one kind arrive ``factor`` times as often."""
 
     kind: str
     at_s: float
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowWorkers:
-    """Name a time in which a share of the workers takes ``factor`` times as long."""
+    """A period in which a share of the workers takes ``factor`` times as long."""
 
     at_s: float
     for_s: float
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailingWorkers:
-    """Name a time in which a share of the workers fails all that it starts."""
+    """A period in which a share of the workers fails every task that it starts."""
 
     at_s: float
     for_s: float
@@ -91,17 +92,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashingWork:
-    """Have a share of all jobs crash each worker that starts their first task."""
+    """A share of all jobs that crash each worker that starts their first task."""
 
     share: float
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingWorkers:
-    """Have a share of the workers leave for good, from ``at_s`` on and one by one.
+    """A share of the workers that leave for good, one by one, from ``at_s`` on.
 
-    Each says so, serves on for ``serves_on_s``, so that what runs there may end, and
-    ends itself.
+    Each announces it, continues for ``serves_on_s`` so that its running tasks may end,
+    and then exits.
     """
 
     at_s: float
@@ -115,12 +116,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DayPlan:
-    """Describe a day; jobs that have not ended ``finish_s`` after it earn nothing.
+    """A day of load; jobs that have not ended ``finish_s`` after it earn nothing.
 
     ``guaranteed`` is the share of all accelerators that customers are guaranteed
-    together, ``save_s`` how often checkpoints are kept, ``far_factor`` how many times
-    as long a step takes away from its data or on several racks. Each worker takes one
-    of ``speeds`` times as long as others, drawn by the seed.
+    together, ``save_s`` the interval between checkpoints. A step away from its data or
+    spread over several racks takes ``far_factor`` times as long. The run times of each
+    worker are multiplied by one of ``speeds``, drawn from the seed.
     """
 
     name: str
@@ -143,5 +144,5 @@
 
     @property
     def racks(self) -> int:
-        """Return how many racks the workers stand in; the last may be smaller."""
+        """Return the number of racks; the last may hold fewer workers."""
         return math.ceil(self.workers / self.per_rack)
--- a/lab/plans.py
+++ b/lab/plans.py
@@ -1,4 +1,4 @@
-"""Describe days like those of the users: their kinds of work at several sizes."""
+"""Define the plans of simulated days, which scale to any number of workers."""
 
 from dataclasses import replace
 
@@ -16,7 +16,7 @@
 __all__ = ["PLANS", "make_plan"]
 
 BASE_WORKERS = 270
-"""The size at which the rates below hold."""
+"""The number of workers for which the rates below are given."""
 PREVIEW = JobKind(
     name="preview",
     priority=1,
@@ -144,7 +144,7 @@
     task_variation=0.15,
     initial_jobs=50,
 )
-"""Two fill a worker's processor and memory and leave most of its accelerators."""
+"""Two tasks nearly fill a worker's processors and memory but use few accelerators."""
 NARROW = JobKind(
     name="narrow",
     priority=2,
@@ -169,7 +169,7 @@
     initial_jobs=70,
 )
 SCARCE = replace(CALM, name="scarce", kinds=(HEAVY, NARROW), guaranteed=0.75)
-"""Processor and memory are scarce, accelerators are not; most are guaranteed."""
+"""Processors and memory are scarce; accelerators are not, but most are guaranteed."""
 SHIFTED_PREVIEW = replace(
     PREVIEW,
     per_s=0.93,
@@ -199,8 +199,9 @@
     guaranteed=0.62,
     save_s=0.5,
 )
-"""A preview's task takes more than half of a worker's memory: what stands beside it
-strands the rest, though no resource is two thirds used in all."""
+"""A preview task takes more than half of a worker's memory, so a worker never holds
+two; other tasks beside it leave remainders too small to use, though less than two
+thirds of each resource is in use overall."""
 SHIFTED_BURSTS = replace(
     SHIFTED,
     name="shifted-bursts",
@@ -219,7 +220,8 @@
     load=0.45,
     faults=(LeavingWorkers(2.0, 8.0, 0.6),),
 )
-"""Steps grow wider than the workers that stay may hold at a time."""
+"""With most workers gone, steps are wider than their spread limits and labels allow
+to run at a time."""
 PLANS = {
     plan.name: plan
     for plan in (
@@ -236,9 +238,9 @@
 
 
 def make_plan(name: str, workers: int, load: float = 1.0) -> DayPlan:
-    """Return a plan for ``workers``; its rates grow with them, its jobs do not.
+    """Return a plan whose arrival rates, but not job sizes, scale with ``workers``.
 
-    ``load`` is a factor on top of the plan's own.
+    ``load`` multiplies the plan's own load.
     """
     plan = PLANS[name]
     scale = workers / BASE_WORKERS
--- a/lab/progress.py
+++ b/lab/progress.py
@@ -1,7 +1,7 @@
 """Find work that stands still although it could run.
 
-Judged by what callers were told and workers run, never by what the scheduler believes,
-so that a false belief is found as well.
+The input is what callers were told and what workers run, never the scheduler's own
+state, so that errors in that state are found as well.
 """
 
 from collections import Counter
@@ -16,15 +16,15 @@
 StepKey = tuple[str, int] | tuple[str, int, int]
 
 MAX_IDLE_S = 3.0
-"""For so long work may have nothing running though it could; from the users' rules."""
+"""How long a job that could run may have nothing running; a requirement."""
 ROOM_FACTOR = 2
-"""How many times over there has to be room, and the share of all room that may be in
-use is one through as many; from the users' rules."""
+"""A step counts as able to run only if there is room for it this many times, while at
+most 1 / ROOM_FACTOR of a resource is in use; a requirement."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerRoom:
-    """Hold the room of a worker that is sound and stays, and what runs there takes."""
+    """The capacity of a healthy worker that is not leaving, and the part in use."""
 
     name: str
     rack: str
@@ -34,17 +34,17 @@
 
     @property
     def free(self) -> Resources:
-        """Return what is left."""
+        """Return the resources that are not in use."""
         return self.capacity - self.used
 
 
 @dataclass(frozen=True, slots=True)
 class IdleStep:
-    """Hold a step whose turn has come, of a job of which nothing runs.
+    """A step that is ready to run, of a job that has nothing running.
 
-    A task that lasts counts for itself, by its index ``task``, whether others of its
-    job run or not. ``taken`` counts by worker the tasks of the step that run there:
-    the spread limit bounds what a worker has at a time.
+    A long-running task is followed alone, by its index ``task``, whether or not others
+    of its job run. ``taken`` maps workers to the number of the step's tasks that run
+    there, because the spread limit bounds how many a worker holds at a time.
     """
 
     job: str
@@ -55,14 +55,14 @@
 
     @property
     def key(self) -> StepKey:
-        """Return by what a stand-still is known."""
+        """Return the key that identifies the step or task."""
         whole = (self.job, self.step)
         return whole if self.task is None else (*whole, self.task)
 
 
 @dataclass(frozen=True, slots=True)
 class StandStill:
-    """Tell that a step, or a task of it that lasts, stood still, up to ``until_s``."""
+    """A period in which a step, or one of its long-running tasks, stood still."""
 
     job: str
     step: int
@@ -72,15 +72,15 @@
 
     @property
     def lasted_s(self) -> float:
-        """Return for how long it stood still."""
+        """Return the length of the period in seconds."""
         return self.until_s - self.since_s
 
 
 class StandStills:
-    """Follow which steps stand still; ``found`` holds those that do so for too long.
+    """Tracks steps that stand still; ``found`` holds those over ``longest_s``.
 
-    ``any_rack`` counts room in other racks than those that a step was asked to run in,
-    ``however_full`` that as well, and leaves out of account how much is in use.
+    ``any_rack`` also counts room in racks other than those that a step asked for.
+    ``however_full`` does so too, and ignores how much of all room is in use.
     """
 
     def __init__(
@@ -98,13 +98,13 @@
 
     @property
     def longest_s(self) -> float:
-        """Return the longest time found, 0 where none is too long."""
+        """Return the longest period found in seconds, 0 if there is none."""
         return max((one.lasted_s for one in self.found.values()), default=0.0)
 
     def look(
         self, now_s: float, rooms: Iterable[WorkerRoom], idle: Iterable[IdleStep]
     ) -> None:
-        """Take what is to be seen now."""
+        """Record the free room and the idle steps at ``now_s``."""
         snapshot = _RoomSnapshot(rooms)
         standing = {one.key: one for one in idle if self._could_run(one, snapshot)}
         for key in self._since_s.keys() - standing.keys():
@@ -127,7 +127,7 @@
 
 
 class _RoomSnapshot:
-    """Hold all rooms of one moment; what many steps ask is counted once."""
+    """The room of all workers at one moment; caches counts that steps share."""
 
     def __init__(self, rooms: Iterable[WorkerRoom]):
         self._rooms = [(room, room.free) for room in rooms]
@@ -136,11 +136,11 @@
         self._total = sum((room.capacity for room, _ in self._rooms), Resources())
 
     def has_room_twice(self, idle: IdleStep) -> bool:
-        """Tell whether there is room for a task twice over, for gangs as a whole."""
+        """Tell whether there is room for two such tasks, or for two whole gangs."""
         return self._count_by_rack(idle).total() >= _get_required_slots(idle)
 
     def could_run(self, idle: IdleStep, *, any_rack: bool) -> bool:
-        """Tell whether a step could run by the users' rule."""
+        """Tell whether a step could run, see the function ``could_run``."""
         spec = idle.spec
         underused = self._find_underused(spec.need)
         if not any(underused):
@@ -154,7 +154,7 @@
         return most >= _get_required_slots(idle)
 
     def _find_underused(self, need: Resources) -> list[bool]:
-        """Return of each resource that is needed whether at most half is in use."""
+        """Tell for each required resource whether at most half of it is in use."""
         used, total = self._used, self._total
         resources = (
             (need.cpu_milli, used.cpu_milli, total.cpu_milli),
@@ -181,9 +181,10 @@
 def could_run(idle: IdleStep, rooms: Iterable[WorkerRoom]) -> bool:
     """Tell whether there is room twice over while at most half of the room is in use.
 
-    The users do not say which of processor, memory and accelerators counts: one of them
-    is enough, but for room in other racks than those that the step was asked to run in,
-    where it takes several times as long. That counts where half of all is idle.
+    The requirement does not say which of processors, memory and accelerators counts, so
+    one resource that is at most half used is enough. Room in racks other than those
+    that the step asked for, where it takes several times as long, counts only if every
+    resource that it needs is at most half used.
     """
     return _RoomSnapshot(rooms).could_run(idle, any_rack=False)
 
--- a/lab/replay.py
+++ b/lab/replay.py
@@ -1,4 +1,4 @@
-"""Replay a day: arrivals, workers and the real scheduler on one virtual clock."""
+"""Simulate a day: arrivals, workers and the real scheduler on one virtual clock."""
 
 import dataclasses
 import time
@@ -29,22 +29,22 @@
 __all__ = ["replay"]
 
 CRASH_NOTICE_S = 0.02
-"""How soon a crashed worker's open call tells that it is gone."""
+"""Time until a crashed worker's open call fails and shows the crash."""
 RESTART_S = 3.2
-"""After which another life answers at a crashed worker's address, as measured."""
+"""Time until a restarted worker answers at the address of one that crashed."""
 START_DELAY_S = 0.015
-"""From a decision to start until the worker has the order: an append and a call."""
+"""Time from a decision until the worker has the order: a log append and a call."""
 STOP_DELAY_S = 0.003
 REPORT_DELAY_S = 0.005
 MIN_DECISION_INTERVAL_S = 0.03
-"""How soon the owner decides again at the earliest: a step and the rest after it."""
+"""Shortest time between two decisions: the owner's step and the pause after it."""
 DECISION_INTERVAL_S = 0.25
 LEASE_RENEWAL_S = 600.0
 FINAL_LEASE_S = 10.0
-"""After which nothing is taken to run on a worker that has gone for good."""
+"""Time after which a worker that has left is taken to run nothing."""
 SAMPLE_INTERVAL_S = 0.5
 WATCH_INTERVAL_S = 0.25
-"""How often to look for what stands still: a twelfth of the time that is too long."""
+"""Interval of the checks for work that stands still: a twelfth of ``MAX_IDLE_S``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +109,7 @@
 
 
 class _Replay:
-    """Hold one day while it is replayed."""
+    """The state of one day while it is replayed."""
 
     def __init__(self, plan: DayPlan, seed: int, policy: FleetPolicy):
         self._plan = plan
@@ -244,7 +244,7 @@
         self._note_begun(order, now_s)
 
     def _replace_worker(self, worker: str, now_s: float) -> None:
-        """List another life of a worker at the place of one that has crashed."""
+        """List a restarted worker, under a new name, in place of one that crashed."""
         former = self._listed.pop(worker)
         place, _, life = worker.partition(".")
         name = f"{place}.{int(life or 0) + 1}"
@@ -254,7 +254,7 @@
         self._scheduler.note_heard(name, now_s)
 
     def _begin_departure(self, worker: str, serves_on_s: float, now_s: float) -> None:
-        """List a worker as leaving, unless it has crashed before."""
+        """List a worker as leaving unless it has already crashed."""
         if worker not in self._listed or self._workers.is_dead(worker):
             return
         self._workers.note_leaving(worker)
@@ -338,5 +338,5 @@
 
 
 def replay(plan: DayPlan, seed: int, policy: FleetPolicy) -> DayResult:
-    """Replay the day of ``plan`` that ``seed`` draws."""
+    """Replay the day that ``plan`` and ``seed`` determine and return its result."""
     return _Replay(plan, seed, policy).run()
--- a/lab/result.py
+++ b/lab/result.py
@@ -1,4 +1,4 @@
-"""Account for what a replayed day earned, by kind and by customer."""
+"""Score a replayed day by kind of job and by customer."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -11,18 +11,19 @@
 __all__ = ["DayResult", "KindResult"]
 
 LATE_RATIO = 3.0
-"""Up to so many objectives a job still earns the late part; from the users' rules."""
+"""A job earns ``late_worth`` until this many times its objective; a requirement."""
 SIZE_SHARE = 0.7
 LARGEST = 4.0
-"""A job earns 0.3 and 0.7 times its size against the mean of its kind, 4 at most."""
+"""A job's weight is 0.3 plus 0.7 times its size divided by the mean size of its kind,
+at most 4."""
 WASTE_PRICE = 7e-7
-"""Worth lost for a core-second thrown away on 270 workers, by size on others; five
-scored days of that size had 5.9e-7 to 7.6e-7."""
+"""Score lost for each core-second of discarded work with 270 workers; scaled inversely
+for other numbers. Five scored days of that size gave 5.9e-7 to 7.6e-7."""
 
 
 @dataclass(slots=True)
 class KindResult:
-    """Hold what one kind owed and earned, and its waits in seconds."""
+    """The attainable and earned worth of a kind or customer; waits in seconds."""
 
     attainable: float = 0.0
     earned: float = 0.0
@@ -33,16 +34,16 @@
 
     @property
     def served(self) -> float:
-        """Return the share of worth that was earned."""
+        """Return the share of the attainable worth that was earned."""
         return self.earned / self.attainable if self.attainable else 1.0
 
 
 @dataclass(slots=True)
 class DayResult:
-    """Hold a replayed day; ``took_s`` is the processor time of all decisions.
+    """The result of a replayed day; ``took_s`` is the wall time of all decisions.
 
-    ``stills`` are the steps that stood still by the users' rule, ``full_stills`` those
-    that had room twice over, however much was in use.
+    ``stills`` holds the steps that stood still while at most half of the room was in
+    use, ``full_stills`` those that had room twice over, however much was in use.
     """
 
     plan: DayPlan
@@ -67,7 +68,7 @@
 
     @property
     def worst_customers(self) -> float:
-        """Return the share that the worst tenth of the customers earned."""
+        """Return the mean share that the worst tenth of the customers earned."""
         shares = sorted(one.served for one in self.customers.values() if one.attainable)
         worst = shares[: max(1, len(shares) // 10)]
         return sum(worst) / len(worst)
@@ -79,14 +80,15 @@
 
     @property
     def wasted(self) -> float:
-        """Return the price of work that was thrown away."""
+        """Return the score lost to discarded work."""
         return self.waste.core_s * WASTE_PRICE * 270 / self.plan.workers
 
     @property
     def worth(self) -> float:
-        """Return the users' worth as far as a replay knows it.
+        """Return the score of the day, as far as a replay can compute it.
 
-        The whole day stands for the worst data halls and seconds as well.
+        The score's terms for the worst data halls and the worst seconds are
+        approximated by the whole day.
         """
         whole = (0.6 + 0.2 + 0.12) * self.whole_day
         parts = whole + 0.16 * self.worst_customers + 0.08 * self.worst_kind
@@ -100,7 +102,7 @@
     failed: set[str],
     began_s: dict[str, float],
 ) -> DayResult:
-    """Return what the jobs of a day earned."""
+    """Return the result of a day with what its jobs earned."""
     result = DayResult(plan)
     result.kinds = {kind.name: KindResult() for kind in plan.kinds}
     customers: dict[str, KindResult] = defaultdict(KindResult)
--- a/lab/rows.py
+++ b/lab/rows.py
@@ -1,4 +1,4 @@
-"""Hold what replayed days earned as rows that can be saved and compared."""
+"""Save, load, compare and print the figures of replayed days."""
 
 from math import sqrt
 from pathlib import Path
@@ -35,20 +35,21 @@
     "full_still_s",
 )
 LONGEST = frozenset(("still_s", "full_still_s"))
-"""Of these the table has the longest of all days, of all others the mean."""
+"""Figures shown as the maximum over all days; the others are shown as the mean."""
 
 
 class DayRow(msgspec.Struct, frozen=True):
-    """Hold the figures of one day; ``served`` is by kind of job.
+    """The figures of one day; ``served`` is by kind of job.
 
-    ``crashes`` counts workers that work crashed, ``lost`` the runs of others that ended
-    with them, ``given_up`` jobs that are shown as failed without a fault of their own.
+    ``crashes`` counts workers that a job crashed, ``lost`` the runs of other jobs that
+    ended with them, ``given_up`` jobs that were given up though they crash no worker.
 
-    ``longest_ms`` is the longest decision, ``decide_s`` all of them, on this machine.
+    ``longest_ms`` is the longest decision, ``decide_s`` the sum of all; both depend on
+    the machine.
 
-    ``stills`` counts steps that stood still for too long by the users' rule, for
-    ``still_s`` at the longest; ``full_stills`` and ``full_still_s`` leave out how much
-    room was in use. All are 0 in rows that were saved without them.
+    ``stills`` counts steps that stood still for too long, ``still_s`` is the longest
+    such period. ``full_stills`` and ``full_still_s`` are the same regardless of how
+    much room was in use. Rows saved without these fields load with 0.
     """
 
     plan: str
@@ -73,7 +74,7 @@
 
     @property
     def day(self) -> tuple[str, int, int]:
-        """Return what two rows of the same day have in common."""
+        """Return the key that pairs rows of the same day."""
         return self.plan, self.workers, self.seed
 
 
@@ -108,13 +109,13 @@
 
 
 def load_rows(path: Path) -> list[DayRow]:
-    """Read rows that were saved."""
+    """Read rows written by ``save_rows``."""
     lines = path.read_bytes().splitlines()
     return [msgspec.json.decode(line, type=DayRow) for line in lines]
 
 
 def render_rows(rows: list[DayRow]) -> str:
-    """Return a table of means by plan and number of workers, see ``LONGEST``."""
+    """Return a table of means, or maxima for ``LONGEST``, by plan and worker count."""
     kinds = list(dict.fromkeys(kind for row in rows for kind in row.served))
     lines = [f"{'plan':>8} {'workers':>7} {'days':>4} " + _join([*FIGURES, *kinds])]
     for plan, workers in sorted({(row.plan, row.workers) for row in rows}):
@@ -127,7 +128,7 @@
 
 
 def compare_rows(base: list[DayRow], rows: list[DayRow]) -> str:
-    """Return what the days that both have gained, with its standard error."""
+    """Return the mean gain over the days in both lists, with its standard error."""
     before = {row.day: row.worth for row in base}
     gains = [row.worth - before[row.day] for row in rows if row.day in before]
     if not gains:
@@ -142,7 +143,7 @@
 
 
 def _render_served(kind: str, rows: list[DayRow]) -> str:
-    """Return the mean of what a kind was served, a dash where a plan lacks it."""
+    """Return the mean share served to a kind, a dash if the plan lacks the kind."""
     served = [row.served[kind] for row in rows if kind in row.served]
     return f"{mean(served):.3f}" if served else "-"
 
--- a/lab/watch.py
+++ b/lab/watch.py
@@ -1,4 +1,4 @@
-"""Watch in a replayed day what stands still, from its workers and its jobs alone."""
+"""Find work that stands still in a replayed day, from its workers and jobs alone."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
@@ -13,9 +13,9 @@
 
 
 class DayWatch:
-    """Follow all open jobs and what their workers list as done.
+    """Tracks open jobs and the tasks that workers have reported as done.
 
-    A job is open from when it comes until it is cancelled, given up or shown as ended.
+    A job is open from its arrival until it is cancelled, given up or shown as ended.
     """
 
     def __init__(self, workers: LabWorkers, watched: Iterable[StandStills]):
@@ -25,23 +25,24 @@
         self._done: dict[str, set[str]] = defaultdict(set)
 
     def open_job(self, arrival: Arrival) -> None:
-        """Take in a job that has come."""
+        """Add a job that has arrived."""
         self._open[arrival.job.job_id] = arrival
 
     def close_job(self, job_id: str) -> None:
-        """Leave out a job of which nothing more is asked."""
+        """Remove a job that needs no more work."""
         self._open.pop(job_id, None)
 
     def note_end(self, ended: EndedTask) -> None:
-        """Take in what a worker lists as ended."""
+        """Record a task that a worker reported as ended."""
         if ended.kind is EndKind.DONE:
             phase, _, _ = ended.task.rpartition(".")
             self._done[phase].add(ended.task)
 
     def look(self, listed: Iterable[ListedTaskWorker], now_s: float) -> None:
-        """Look at all workers that are sound and at all jobs without a run.
+        """Check all jobs that have nothing running against the room of healthy workers.
 
-        What began and ended since the last look counts as running.
+        Jobs with a run that began since the last call count as running, even if it has
+        ended.
         """
         running = self._workers.pop_started_jobs()
         used: dict[str, Resources] = defaultdict(Resources)
--- a/lab/workers.py
+++ b/lab/workers.py
@@ -1,7 +1,7 @@
-"""Stand in for workers on a virtual clock: gangs, stops, checkpoints, failures.
+"""Simulate workers on a virtual clock: gangs, stops, checkpoints, failures.
 
-Only what changes is an event, so that a day of 270 workers takes seconds. Leases,
-lost calls and owners that change are left to the interleaving tests.
+Only changes of state are events, so that a day of 270 workers takes seconds to
+simulate. Leases, lost calls and changes of owner are covered by the interleaving tests.
 """
 
 import random
@@ -23,15 +23,15 @@
 __all__ = ["LabWorkers", "Waste", "WorkerCrash", "WorkerLeaves"]
 
 CRASH_DELAY_S = 0.01
-"""How soon work that crashes its worker does so, as seen on the users' machines."""
+"""Time from the start of a crashing task until its worker crashes."""
 
 FAILURE_DELAY_S = 0.5
-"""How long a task runs on a worker that fails all that it starts."""
+"""Time that a task runs on a worker that fails every task."""
 
 
 @dataclass(slots=True)
 class Run:
-    """Hold one attempt of a task on a worker, ``factor`` times as slow as others."""
+    """One attempt of a task on a worker; it takes ``factor`` times its nominal time."""
 
     task: str
     attempt: int
@@ -43,9 +43,9 @@
 
 @dataclass(slots=True)
 class RunGroup:
-    """Hold the runs that work together: those of a gang, or a single one.
+    """The runs that start and end together: those of a gang, or a single one.
 
-    ``restored_s`` is the work that a checkpoint spared.
+    ``restored_s`` is the work restored from a checkpoint, in seconds.
     """
 
     size: int
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkFinished:
-    """Tell that a team's work is over, unless it was broken off before."""
+    """The planned end of a group's work; void if the group has ended before."""
 
     key: tuple[str, int]
     group: RunGroup
@@ -67,21 +67,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StopFinished:
-    """Tell that a stop has taken effect."""
+    """A stop has taken effect."""
 
     run: Run
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerCrash:
-    """Tell that a worker has crashed with all that runs there."""
+    """A worker has crashed with all tasks that run there."""
 
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLeaves:
-    """Tell that a worker says that it leaves for good, and how long it serves on."""
+    """A worker announces that it leaves for good after ``serves_on_s`` more seconds."""
 
     worker: str
     serves_on_s: float
@@ -89,9 +89,9 @@
 
 @dataclass(slots=True)
 class Waste:
-    """Count core-seconds of work that was thrown away, and stops.
+    """Counts of runs that did not complete, and their discarded core-seconds.
 
-    ``lost`` counts runs of other jobs that ended with their worker, or by that.
+    ``lost`` counts runs, except those of crashing jobs, that ended with their worker.
     """
 
     core_s: float = 0.0
@@ -103,12 +103,12 @@
 
 
 def get_worker_number(worker: str) -> int:
-    """Return the place of a worker; its later lives have it too."""
+    """Return the number in a worker's name; restarted workers keep it."""
     return int(worker[1:].partition(".")[0])
 
 
 class LabWorkers:
-    """Hold what runs; ends are handed to ``report`` with the worker's name."""
+    """All simulated workers; ``report`` is called with the worker when a run ends."""
 
     def __init__(self, plan: DayPlan, seed: int, events: Events, report):
         self._plan = plan
@@ -149,13 +149,13 @@
                 self._events.add(at_s, WorkerLeaves(f"w{number}", fault.serves_on_s))
 
     def add_arrival(self, arrival: Arrival) -> None:
-        """Take in what a job's tasks really take."""
+        """Add a job with the actual run times of its tasks."""
         self._arrivals[arrival.job.job_id] = arrival
 
     def start(self, order: StartTask, now_s: float) -> bool:
-        """Begin an attempt; a gang works once all its members are there.
+        """Begin an attempt; a gang starts to work once all its tasks have begun.
 
-        False where a stop came first, so that it never begins.
+        Return False, without a run, if a stop came first or the worker has crashed.
         """
         if (
             self._stopped.get(order.task, 0) >= order.attempt
@@ -194,20 +194,20 @@
         self._events.add(now_s + took_s, StopFinished(run))
 
     def is_dead(self, worker: str) -> bool:
-        """Tell whether a worker has crashed; its next life has another name."""
+        """Tell whether a worker has ended; once restarted, it has another name."""
         return worker in self._dead
 
     def is_healthy(self, worker: str, now_s: float) -> bool:
-        """Tell whether a worker lives, stays and does not fail all that it starts."""
+        """Tell whether a worker is up, is not leaving and does not fail every task."""
         ends = worker in self._dead or worker in self._leaving
         return not ends and not self._is_failing(worker, now_s)
 
     def note_leaving(self, worker: str) -> None:
-        """Take in that a worker leaves for good."""
+        """Mark a worker as leaving for good."""
         self._leaving.add(worker)
 
     def iter_runs(self) -> Iterator[tuple[str, str, Resources]]:
-        """Yield the job, the worker and the need of each run."""
+        """Yield the job, the worker and the required resources of each run."""
         for group in self._groups.values():
             job = group.arrival.job
             need = job.steps[group.step].need
@@ -215,12 +215,15 @@
                 yield job.job_id, run.worker, need
 
     def pop_started_jobs(self) -> set[str]:
-        """Return the jobs of which a run began since the last call."""
+        """Return the jobs that had a run begin since the last call."""
         begun, self._started_jobs = self._started_jobs, set()
         return begun
 
     def end_worker(self, worker: str, now_s: float) -> bool:
-        """End a worker and all that runs there, unheard; False where it had ended."""
+        """End a worker and, without a report, its runs; gangs that work end with them.
+
+        Return False if the worker had already ended.
+        """
         if worker in self._dead:
             return False
         self._dead.add(worker)
@@ -248,7 +251,7 @@
             del self._groups[key]
 
     def finish_work(self, event: WorkFinished, now_s: float) -> None:
-        """End a team whose work is over."""
+        """End the runs of a group whose work is finished."""
         if self._groups.get(event.key) is not event.group:
             return
         del self._groups[event.key]
@@ -261,7 +264,7 @@
             self._end(event.group, run, kind, now_s)
 
     def finish_stop(self, event: StopFinished, now_s: float) -> None:
-        """End a run that was stopped, and with it the rest of its gang."""
+        """End a stopped run; if its gang works, end its runs that are not stopping."""
         run = event.run
         if (run.task, run.attempt) not in self._runs:
             return
@@ -337,7 +340,7 @@
         return factor * slowest
 
     def _save_progress(self, group: RunGroup, run: Run, now_s: float) -> None:
-        """Keep the progress of what writes checkpoints; the rest is thrown away."""
+        """Record the progress of steps that write checkpoints."""
         spec = group.arrival.job.steps[group.step]
         if group.working_since_s is None:
             return
--- a/tests/lab/test_replay.py
+++ b/tests/lab/test_replay.py
@@ -1,4 +1,4 @@
-"""Replay the loads that mechanisms of the scheduler answer."""
+"""Check replayed days, and the scores of single scheduling rules."""
 
 from dataclasses import replace
 from statistics import mean
@@ -47,7 +47,8 @@
 
 
 def test_stops_priced_by_what_they_lose_serve_more():
-    # Half of the work keeps its progress and was stopped as dearly as what loses all.
+    # Nearly half of the preview and check jobs write checkpoints; pricing a stop of
+    # these like one that loses all progress earns less.
     dear = replace(POLICY, restore_s=1e9)
     day = make_plan("calm", WORKERS)
     assert get_mean_worth(day, POLICY) > get_mean_worth(day, dear)
--- a/tests/lab/test_watch.py
+++ b/tests/lab/test_watch.py
@@ -1,4 +1,4 @@
-"""Watch in replayed days what stands still beside free room."""
+"""Check how work that stands still beside free room is found."""
 
 import math
 from dataclasses import replace
@@ -27,7 +27,7 @@
 
 
 class WatchedDay:
-    """Hold two workers, jobs that nobody schedules, and what is seen of them."""
+    """Simulated workers and jobs without a scheduler, and what ``DayWatch`` finds."""
 
     def __init__(self, workers: int = 2, faults=()):
         plan = replace(make_plan("calm", workers), faults=faults)
@@ -222,8 +222,8 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_no_start_is_told_to_have_begun_that_has_not(seed, monkeypatch):
-    # Told so, the scheduler stopped the attempt again and again, and its job ended
-    # with the day.
+    # If a start that did not take place is confirmed, the scheduler stops the attempt
+    # over and over, and its job does not end.
     told = []
     real_start = LabWorkers.start
     real_answer = FleetScheduler.take_start_answer
@@ -266,8 +266,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_work_stands_still_while_accelerators_are_free(seed):
-    # Long work fills processors, and most accelerators are guaranteed though nobody
-    # claims them: what can't be stopped cheaply has to begin all the same.
+    # Long tasks fill the processors, and most accelerators are guaranteed but not
+    # claimed. Tasks that can't be stopped cheaply must be started there all the same.
     result = replay(make_plan("scarce", 24), seed, POLICY)
     assert result.stills.found == {}
 
