--- a/lab/kinds.py
+++ b/lab/kinds.py
@@ -101,14 +101,14 @@
 class LeavingWorkers:
     """A share of the workers that leave for good, one by one, from ``at_s`` on.
 
-    Each announces it, continues for ``serves_on_s`` so that its running tasks may end,
+    Each announces it, continues for ``exit_delay_s`` so that its running tasks may end,
     and then exits.
     """
 
     at_s: float
     for_s: float
     share: float
-    serves_on_s: float = 16.0
+    exit_delay_s: float = 16.0
 
 
 Fault = SlowWorkers | FailingWorkers | CrashingWork | LeavingWorkers
@@ -120,8 +120,8 @@
 
     ``guaranteed`` is the share of all accelerators that customers are guaranteed
     together, ``save_s`` the interval between checkpoints. A step away from its data or
-    spread over several racks takes ``far_factor`` times as long. The run times of each
-    worker are multiplied by one of ``speeds``, drawn from the seed.
+    spread over several racks takes ``remote_factor`` times as long. The run times of
+    each worker are multiplied by one of ``speeds``, drawn from the seed.
     """
 
     name: str
@@ -137,7 +137,7 @@
     stop_s: float = 0.4
     save_s: float = 2.0
     restore_s: float = 0.6
-    far_factor: float = 3.0
+    remote_factor: float = 3.0
     speeds: tuple[float, ...] = (1.0,)
     bursts: tuple[Burst, ...] = ()
     faults: tuple[Fault, ...] = field(default=())
--- a/lab/replay.py
+++ b/lab/replay.py
@@ -11,7 +11,7 @@
 from lab.result import DayResult, score_day
 from lab.watch import DayWatch
 from lab.workers import (
-    LabWorkers,
+    SimulatedWorkers,
     StopFinished,
     WorkerCrash,
     WorkerLeaves,
@@ -114,7 +114,7 @@
     def __init__(self, plan: DayPlan, seed: int, policy: FleetPolicy):
         self._plan = plan
         self._events = Events()
-        self._workers = LabWorkers(plan, seed, self._events, self._note_end)
+        self._workers = SimulatedWorkers(plan, seed, self._events, self._note_end)
         self._stills = StandStills()
         self._full_stills = StandStills(however_full=True)
         watched = (self._stills, self._full_stills)
@@ -203,8 +203,8 @@
                     self._scheduler.note_heard(worker, now_s)
             case _WorkerRestarted(worker):
                 self._replace_worker(worker, now_s)
-            case WorkerLeaves(worker, serves_on_s):
-                self._begin_departure(worker, serves_on_s, now_s)
+            case WorkerLeaves(worker, exit_delay_s):
+                self._begin_departure(worker, exit_delay_s, now_s)
             case _DepartureEnded(worker):
                 self._end_departure(worker, now_s)
             case _Stop(order):
@@ -253,16 +253,16 @@
         self._scheduler.note_replaced(worker, now_s)
         self._scheduler.note_heard(name, now_s)
 
-    def _begin_departure(self, worker: str, serves_on_s: float, now_s: float) -> None:
+    def _begin_departure(self, worker: str, exit_delay_s: float, now_s: float) -> None:
         """List a worker as leaving unless it has already crashed."""
         if worker not in self._listed or self._workers.is_dead(worker):
             return
         self._workers.note_leaving(worker)
         self._listed[worker] = dataclasses.replace(
-            self._listed[worker], leaving=True, remaining_s=serves_on_s
+            self._listed[worker], leaving=True, remaining_s=exit_delay_s
         )
         self._scheduler.take_list(self._listed.values(), now_s)
-        self._events.add(now_s + serves_on_s, _DepartureEnded(worker))
+        self._events.add(now_s + exit_delay_s, _DepartureEnded(worker))
 
     def _end_departure(self, worker: str, now_s: float) -> None:
         self._workers.end_worker(worker, now_s)
--- a/lab/result.py
+++ b/lab/result.py
@@ -8,7 +8,7 @@
 from lab.progress import StandStills
 from lab.workers import Waste
 
-__all__ = ["DayResult", "KindResult"]
+__all__ = ["DayResult", "ScoreTotals"]
 
 LATE_RATIO = 3.0
 """A job earns ``late_worth`` until this many times its objective; a requirement."""
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class KindResult:
+class ScoreTotals:
     """The attainable and earned worth of a kind or customer; waits in seconds."""
 
     attainable: float = 0.0
@@ -47,8 +47,8 @@
     """
 
     plan: DayPlan
-    kinds: dict[str, KindResult] = field(default_factory=dict)
-    customers: dict[str, KindResult] = field(default_factory=dict)
+    kinds: dict[str, ScoreTotals] = field(default_factory=dict)
+    customers: dict[str, ScoreTotals] = field(default_factory=dict)
     waste: Waste = field(default_factory=Waste)
     used: list[float] = field(default_factory=list)
     given_up: int = 0
@@ -61,7 +61,7 @@
     )
 
     @property
-    def whole_day(self) -> float:
+    def earned_share(self) -> float:
         """Return the share of the day's worth that was earned."""
         attainable = sum(kind.attainable for kind in self.kinds.values())
         return sum(kind.earned for kind in self.kinds.values()) / attainable
@@ -90,7 +90,7 @@
         The score's terms for the worst data halls and the worst seconds are
         approximated by the whole day.
         """
-        whole = (0.6 + 0.2 + 0.12) * self.whole_day
+        whole = (0.6 + 0.2 + 0.12) * self.earned_share
         parts = whole + 0.16 * self.worst_customers + 0.08 * self.worst_kind
         return parts / 1.16 - self.wasted
 
@@ -104,8 +104,8 @@
 ) -> DayResult:
     """Return the result of a day with what its jobs earned."""
     result = DayResult(plan)
-    result.kinds = {kind.name: KindResult() for kind in plan.kinds}
-    customers: dict[str, KindResult] = defaultdict(KindResult)
+    result.kinds = {kind.name: ScoreTotals() for kind in plan.kinds}
+    customers: dict[str, ScoreTotals] = defaultdict(ScoreTotals)
     sizes = _get_mean_sizes(arrivals)
     for arrival in arrivals:
         if arrival.cancel_s is not None or arrival.crashes:
--- a/lab/rows.py
+++ b/lab/rows.py
@@ -85,7 +85,7 @@
         workers,
         seed,
         result.worth,
-        result.whole_day,
+        result.earned_share,
         result.worst_customers,
         result.wasted,
         result.waste.stops,
@@ -120,7 +120,7 @@
     lines = [f"{'plan':>8} {'workers':>7} {'days':>4} " + _join([*FIGURES, *kinds])]
     for plan, workers in sorted({(row.plan, row.workers) for row in rows}):
         chosen = [row for row in rows if (row.plan, row.workers) == (plan, workers)]
-        cells = [_sum_up(name, chosen) for name in FIGURES]
+        cells = [_aggregate(name, chosen) for name in FIGURES]
         texts = [f"{cell:.3f}" for cell in cells]
         texts += [_render_served(kind, chosen) for kind in kinds]
         lines.append(f"{plan:>8} {workers:>7} {len(chosen):>4} " + _join(texts))
@@ -137,7 +137,7 @@
     return f"worth {mean(gains):+.4f}, standard error {error:.4f}, {len(gains)} days"
 
 
-def _sum_up(name: str, rows: list[DayRow]) -> float:
+def _aggregate(name: str, rows: list[DayRow]) -> float:
     take = max if name in LONGEST else mean
     return take(getattr(row, name) for row in rows)
 
--- a/lab/workers.py
+++ b/lab/workers.py
@@ -20,7 +20,7 @@
 from larkhoist.ports.fleet import Resources
 from larkhoist.ports.task_worker import EndedTask, EndKind
 
-__all__ = ["LabWorkers", "Waste", "WorkerCrash", "WorkerLeaves"]
+__all__ = ["SimulatedWorkers", "Waste", "WorkerCrash", "WorkerLeaves"]
 
 CRASH_DELAY_S = 0.01
 """Time from the start of a crashing task until its worker crashes."""
@@ -81,10 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLeaves:
-    """A worker announces that it leaves for good after ``serves_on_s`` more seconds."""
+    """A worker announces that it leaves for good in ``exit_delay_s`` seconds."""
 
     worker: str
-    serves_on_s: float
+    exit_delay_s: float
 
 
 @dataclass(slots=True)
@@ -107,7 +107,7 @@
     return int(worker[1:].partition(".")[0])
 
 
-class LabWorkers:
+class SimulatedWorkers:
     """All simulated workers; ``report`` is called with the worker when a run ends."""
 
     def __init__(self, plan: DayPlan, seed: int, events: Events, report):
@@ -146,7 +146,7 @@
             workers = self._plan.workers
             for number in rng.sample(range(workers), round(fault.share * workers)):
                 at_s = fault.at_s + rng.uniform(0.0, fault.for_s)
-                self._events.add(at_s, WorkerLeaves(f"w{number}", fault.serves_on_s))
+                self._events.add(at_s, WorkerLeaves(f"w{number}", fault.exit_delay_s))
 
     def add_arrival(self, arrival: Arrival) -> None:
         """Add a job with the actual run times of its tasks."""
@@ -324,9 +324,9 @@
         racks = {get_worker_number(run.worker) // self._plan.per_rack for run in runs}
         factor = 1.0
         if spec.same_rack and len(racks) > 1:
-            factor *= self._plan.far_factor
+            factor *= self._plan.remote_factor
         if spec.data_rack and any(f"r{rack}" != spec.data_rack for rack in racks):
-            factor *= self._plan.far_factor
+            factor *= self._plan.remote_factor
         slowest = max(self._speeds[get_worker_number(run.worker)] for run in runs)
         for fault, affected in self._faulty:
             if not isinstance(fault, SlowWorkers):
--- a/tests/lab/test_replay.py
+++ b/tests/lab/test_replay.py
@@ -32,7 +32,7 @@
 
 def test_a_small_load_is_served_almost_whole():
     shares = [
-        replay(make_plan("calm", WORKERS, load=0.25), seed, POLICY).whole_day
+        replay(make_plan("calm", WORKERS, load=0.25), seed, POLICY).earned_share
         for seed in SEEDS
     ]
     assert mean(shares) > 0.9
@@ -40,7 +40,7 @@
 
 def test_more_load_serves_a_smaller_share():
     shares = [
-        replay(make_plan("calm", WORKERS, load=load), 1, POLICY).whole_day
+        replay(make_plan("calm", WORKERS, load=load), 1, POLICY).earned_share
         for load in (0.5, 1.0, 2.0)
     ]
     assert shares == sorted(shares, reverse=True)
--- a/tests/lab/test_watch.py
+++ b/tests/lab/test_watch.py
@@ -12,7 +12,7 @@
 from lab.progress import StandStills
 from lab.replay import WATCH_INTERVAL_S, replay
 from lab.watch import DayWatch
-from lab.workers import LabWorkers
+from lab.workers import SimulatedWorkers
 from larkhoist.fleet.effects import StartTask, StopTask
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.scheduler import FleetScheduler
@@ -32,7 +32,7 @@
     def __init__(self, workers: int = 2, faults=()):
         plan = replace(make_plan("calm", workers), faults=faults)
         self.kind = plan.kinds[0]
-        self.workers = LabWorkers(plan, 0, Events(), self.report)
+        self.workers = SimulatedWorkers(plan, 0, Events(), self.report)
         self.stills = StandStills()
         self.full_stills = StandStills(however_full=True)
         self.watch = DayWatch(self.workers, (self.stills, self.full_stills))
@@ -225,7 +225,7 @@
     # If a start that did not take place is confirmed, the scheduler stops the attempt
     # over and over, and its job does not end.
     told = []
-    real_start = LabWorkers.start
+    real_start = SimulatedWorkers.start
     real_answer = FleetScheduler.take_start_answer
 
     def start(workers, order, now_s):
@@ -239,7 +239,7 @@
             told[-1].append(code is None)
         real_answer(scheduler, task, attempt, code, may_act, now_s)
 
-    monkeypatch.setattr(LabWorkers, "start", start)
+    monkeypatch.setattr(SimulatedWorkers, "start", start)
     monkeypatch.setattr(FleetScheduler, "take_start_answer", answer)
     replay(make_plan("faults", 24), seed, POLICY)
     assert told
@@ -276,7 +276,7 @@
 def test_workers_that_leave_for_good_do_not_come_back(seed):
     events = Events()
     plan = make_plan("departures", 24)
-    workers = LabWorkers(plan, seed, events, lambda *told: None)
+    workers = SimulatedWorkers(plan, seed, events, lambda *told: None)
     leaving = [events.pop() for _ in range(round(0.6 * 24))]
     assert not events
     for at_s, event in leaving:
