--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Replay seeded days and print what they earned; ``--base`` compares in pairs."""
+"""Replay seeded days and print their scores; ``--base`` compares day by day."""
 
 import argparse
 from concurrent.futures import ProcessPoolExecutor
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Day:
-    """Name a day to be replayed."""
+    """A plan, a number of workers and a seed that select one day to replay."""
 
     plan: str
     workers: int
@@ -42,9 +42,9 @@
         for plan in args.plan
         for seed in range(args.seeds)
     ]
-    play = partial(_play, load=args.load, policy=_make_policy(args.set))
+    replay_day = partial(_replay_day, load=args.load, policy=_make_policy(args.set))
     with ProcessPoolExecutor(args.processes) as pool:
-        rows = list(pool.map(play, days))
+        rows = list(pool.map(replay_day, days))
     print(render_rows(rows))
     if args.save:
         save_rows(args.save, rows)
@@ -74,7 +74,7 @@
 
 
 def _make_policy(changes: list[str]) -> FleetPolicy:
-    """Return the policy with fields changed as FIELD=VALUE says."""
+    """Return the policy with each FIELD=VALUE of ``changes`` applied."""
     fields = {"stop_s": STOP_S, "restore_s": RESTORE_S}
     for change in changes:
         name, _, value = change.partition("=")
@@ -87,7 +87,7 @@
     return FleetPolicy(**fields)
 
 
-def _play(day: _Day, load: float, policy: FleetPolicy) -> DayRow:
+def _replay_day(day: _Day, load: float, policy: FleetPolicy) -> DayRow:
     result = replay(make_plan(day.plan, day.workers, load), day.seed, policy)
     return make_row(day.plan, day.workers, day.seed, result)
 
--- a/lab/result.py
+++ b/lab/result.py
@@ -1,4 +1,4 @@
-"""Account for what a replayed day earned, by kind and by customer."""
+"""Score a replayed day by kind of job and by customer."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -8,23 +8,24 @@
 from lab.progress import StandStills
 from lab.workers import Waste
 
-__all__ = ["DayResult", "KindResult"]
+__all__ = ["DayResult", "ScoreTotals"]
 
 LATE_RATIO = 3.0
-"""Up to so many objectives a job still earns the late part; from the users' rules."""
+"""A job earns ``late_worth`` until this many times its objective; a requirement."""
 SIZE_SHARE = 0.7
 LARGEST = 4.0
-"""A job earns 0.3 and 0.7 times its size against the mean of its kind, 4 at most."""
+"""A job's weight is 0.3 plus 0.7 times its size divided by the mean size of its kind,
+at most 4."""
 WASTE_PRICE = 7e-7
-"""Worth lost for a core-second thrown away on 270 workers, by size on others; five
-scored days of that size had 5.9e-7 to 7.6e-7."""
+"""Score lost for each core-second of discarded work with 270 workers; scaled inversely
+for other numbers. Five scored days of that size gave 5.9e-7 to 7.6e-7."""
 
 
 @dataclass(slots=True)
-class KindResult:
-    """Hold what one kind owed and earned, and its waits in seconds."""
+class ScoreTotals:
+    """The attainable and earned worth of a kind or customer; waits in seconds."""
 
-    owed: float = 0.0
+    attainable: float = 0.0
     earned: float = 0.0
     jobs: int = 0
     in_time: int = 0
@@ -33,21 +34,21 @@
 
     @property
     def served(self) -> float:
-        """Return the share of worth that was earned."""
-        return self.earned / self.owed if self.owed else 1.0
+        """Return the share of the attainable worth that was earned."""
+        return self.earned / self.attainable if self.attainable else 1.0
 
 
 @dataclass(slots=True)
 class DayResult:
-    """Hold a replayed day; ``took_s`` is the processor time of all decisions.
+    """The result of a replayed day; ``took_s`` is the wall time of all decisions.
 
-    ``stills`` are the steps that stood still by the users' rule, ``full_stills`` those
-    that had room twice over, however much was in use.
+    ``stills`` holds the steps that stood still while at most half of the room was in
+    use, ``full_stills`` those that had room twice over, however much was in use.
     """
 
     plan: DayPlan
-    kinds: dict[str, KindResult] = field(default_factory=dict)
-    customers: dict[str, KindResult] = field(default_factory=dict)
+    kinds: dict[str, ScoreTotals] = field(default_factory=dict)
+    customers: dict[str, ScoreTotals] = field(default_factory=dict)
     waste: Waste = field(default_factory=Waste)
     used: list[float] = field(default_factory=list)
     given_up: int = 0
@@ -60,15 +61,15 @@
     )
 
     @property
-    def whole_day(self) -> float:
+    def earned_share(self) -> float:
         """Return the share of the day's worth that was earned."""
-        owed = sum(kind.owed for kind in self.kinds.values())
-        return sum(kind.earned for kind in self.kinds.values()) / owed
+        attainable = sum(kind.attainable for kind in self.kinds.values())
+        return sum(kind.earned for kind in self.kinds.values()) / attainable
 
     @property
     def worst_customers(self) -> float:
-        """Return the share that the worst tenth of the customers earned."""
-        shares = sorted(one.served for one in self.customers.values() if one.owed)
+        """Return the mean share that the worst tenth of the customers earned."""
+        shares = sorted(one.served for one in self.customers.values() if one.attainable)
         worst = shares[: max(1, len(shares) // 10)]
         return sum(worst) / len(worst)
 
@@ -79,31 +80,32 @@
 
     @property
     def wasted(self) -> float:
-        """Return the price of work that was thrown away."""
+        """Return the score lost to discarded work."""
         return self.waste.core_s * WASTE_PRICE * 270 / self.plan.workers
 
     @property
     def worth(self) -> float:
-        """Return the users' worth as far as a replay knows it.
+        """Return the score of the day, as far as a replay can compute it.
 
-        The whole day stands for the worst data halls and seconds as well.
+        The score's terms for the worst data halls and the worst seconds are
+        approximated by the whole day.
         """
-        whole = (0.6 + 0.2 + 0.12) * self.whole_day
+        whole = (0.6 + 0.2 + 0.12) * self.earned_share
         parts = whole + 0.16 * self.worst_customers + 0.08 * self.worst_kind
         return parts / 1.16 - self.wasted
 
 
-def account(
+def score_day(
     plan: DayPlan,
     arrivals: list[Arrival],
     ended_s: dict[str, float],
     failed: set[str],
     began_s: dict[str, float],
 ) -> DayResult:
-    """Return what the jobs of a day earned."""
+    """Return the result of a day with what its jobs earned."""
     result = DayResult(plan)
-    result.kinds = {kind.name: KindResult() for kind in plan.kinds}
-    customers: dict[str, KindResult] = defaultdict(KindResult)
+    result.kinds = {kind.name: ScoreTotals() for kind in plan.kinds}
+    customers: dict[str, ScoreTotals] = defaultdict(ScoreTotals)
     sizes = _get_mean_sizes(arrivals)
     for arrival in arrivals:
         if arrival.cancel_s is not None or arrival.crashes:
@@ -114,17 +116,17 @@
             1 - SIZE_SHARE + SIZE_SHARE * arrival.core_s / sizes[arrival.kind.name],
         )
         earned, late = _get_earned(arrival, ended_s.get(job_id), job_id in failed)
-        for account_of in (
+        for total in (
             result.kinds[arrival.kind.name],
             customers[arrival.job.customer],
         ):
-            account_of.owed += size * arrival.kind.worth
-            account_of.earned += size * earned
-            account_of.jobs += 1
-            account_of.in_time += earned > 0 and not late
-            account_of.late += late
+            total.attainable += size * arrival.kind.worth
+            total.earned += size * earned
+            total.jobs += 1
+            total.in_time += earned > 0 and not late
+            total.late += late
             if job_id in began_s:
-                account_of.waits_s.append(began_s[job_id] - arrival.at_s)
+                total.waits_s.append(began_s[job_id] - arrival.at_s)
     result.customers = dict(customers)
     return result
 
@@ -139,7 +141,7 @@
 def _get_earned(arrival: Arrival, ended_s: float | None, failed: bool):
     """Return what a job of mean size earned, and whether it was late."""
     kind = arrival.kind
-    if ended_s is None or (failed and not arrival.hopeless):
+    if ended_s is None or (failed and not arrival.always_fails):
         return 0.0, False
     objective_s = kind.stretch * arrival.chain_s + kind.target_s
     took_s = ended_s - arrival.at_s
--- a/lab/watch.py
+++ b/lab/watch.py
@@ -1,11 +1,11 @@
-"""Watch in a replayed day what stands still, from its workers and its jobs alone."""
+"""Find work that stands still in a replayed day, from its workers and jobs alone."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
 from lab.arrivals import Arrival
 from lab.progress import IdleStep, StandStills, WorkerRoom
-from lab.workers import LabWorkers
+from lab.workers import SimulatedWorkers
 from larkhoist.ports.fleet import ListedTaskWorker, Resources
 from larkhoist.ports.task_worker import EndedTask, EndKind
 
@@ -13,37 +13,38 @@
 
 
 class DayWatch:
-    """Follow all open jobs and what their workers list as done.
+    """Tracks open jobs and the tasks that workers have reported as done.
 
-    A job is open from when it comes until it is cancelled, given up or shown as ended.
+    A job is open from its arrival until it is cancelled, given up or shown as ended.
     """
 
-    def __init__(self, workers: LabWorkers, watched: Iterable[StandStills]):
+    def __init__(self, workers: SimulatedWorkers, watched: Iterable[StandStills]):
         self._workers = workers
         self._watched = list(watched)
         self._open: dict[str, Arrival] = {}
         self._done: dict[str, set[str]] = defaultdict(set)
 
     def open_job(self, arrival: Arrival) -> None:
-        """Take in a job that has come."""
+        """Add a job that has arrived."""
         self._open[arrival.job.job_id] = arrival
 
     def close_job(self, job_id: str) -> None:
-        """Leave out a job of which nothing more is asked."""
+        """Remove a job that needs no more work."""
         self._open.pop(job_id, None)
 
     def note_end(self, ended: EndedTask) -> None:
-        """Take in what a worker lists as ended."""
+        """Record a task that a worker reported as ended."""
         if ended.kind is EndKind.DONE:
             phase, _, _ = ended.task.rpartition(".")
             self._done[phase].add(ended.task)
 
     def look(self, listed: Iterable[ListedTaskWorker], now_s: float) -> None:
-        """Look at all workers that are sound and at all jobs without a run.
+        """Check all jobs that have nothing running against the room of healthy workers.
 
-        What began and ended since the last look counts as running.
+        Jobs with a run that began since the last call count as running, even if it has
+        ended.
         """
-        running = self._workers.take_begun()
+        running = self._workers.pop_started_jobs()
         used: dict[str, Resources] = defaultdict(Resources)
         for job_id, worker, need in self._workers.iter_runs():
             running.add(job_id)
@@ -51,7 +52,7 @@
         rooms = [
             WorkerRoom(one.name, one.rack, one.labels, one.capacity, used[one.name])
             for one in listed
-            if self._workers.is_sound(one.name, now_s)
+            if self._workers.is_healthy(one.name, now_s)
         ]
         idle = list(self._iter_idle(running))
         for stills in self._watched:
--- a/tests/lab/test_replay.py
+++ b/tests/lab/test_replay.py
@@ -1,4 +1,4 @@
-"""Replay the loads that mechanisms of the scheduler answer."""
+"""Check replayed days, and the scores of single scheduling rules."""
 
 from dataclasses import replace
 from statistics import mean
@@ -32,7 +32,7 @@
 
 def test_a_small_load_is_served_almost_whole():
     shares = [
-        replay(make_plan("calm", WORKERS, load=0.25), seed, POLICY).whole_day
+        replay(make_plan("calm", WORKERS, load=0.25), seed, POLICY).earned_share
         for seed in SEEDS
     ]
     assert mean(shares) > 0.9
@@ -40,14 +40,15 @@
 
 def test_more_load_serves_a_smaller_share():
     shares = [
-        replay(make_plan("calm", WORKERS, load=load), 1, POLICY).whole_day
+        replay(make_plan("calm", WORKERS, load=load), 1, POLICY).earned_share
         for load in (0.5, 1.0, 2.0)
     ]
     assert shares == sorted(shares, reverse=True)
 
 
 def test_stops_priced_by_what_they_lose_serve_more():
-    # Half of the work keeps its progress and was stopped as dearly as what loses all.
+    # Nearly half of the preview and check jobs write checkpoints; pricing a stop of
+    # these like one that loses all progress earns less.
     dear = replace(POLICY, restore_s=1e9)
     day = make_plan("calm", WORKERS)
     assert get_mean_worth(day, POLICY) > get_mean_worth(day, dear)
--- a/tests/lab/test_watch.py
+++ b/tests/lab/test_watch.py
@@ -1,4 +1,4 @@
-"""Watch in replayed days what stands still beside free room."""
+"""Check how work that stands still beside free room is found."""
 
 import math
 from dataclasses import replace
@@ -10,9 +10,9 @@
 from lab.kinds import FailingWorkers
 from lab.plans import make_plan
 from lab.progress import StandStills
-from lab.replay import WATCH_S, replay
+from lab.replay import WATCH_INTERVAL_S, replay
 from lab.watch import DayWatch
-from lab.workers import LabWorkers
+from lab.workers import SimulatedWorkers
 from larkhoist.fleet.effects import StartTask, StopTask
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.scheduler import FleetScheduler
@@ -27,12 +27,12 @@
 
 
 class WatchedDay:
-    """Hold two workers, jobs that nobody schedules, and what is seen of them."""
+    """Simulated workers and jobs without a scheduler, and what ``DayWatch`` finds."""
 
     def __init__(self, workers: int = 2, faults=()):
         plan = replace(make_plan("calm", workers), faults=faults)
         self.kind = plan.kinds[0]
-        self.workers = LabWorkers(plan, 0, Events(), self.report)
+        self.workers = SimulatedWorkers(plan, 0, Events(), self.report)
         self.stills = StandStills()
         self.full_stills = StandStills(however_full=True)
         self.watch = DayWatch(self.workers, (self.stills, self.full_stills))
@@ -46,8 +46,8 @@
         terms = JobTerms("service")
         job = StagedJob(f"{number:016x}", "q", "c", "text", steps, terms, 0)
         work_s = tuple((100.0,) * step.count for step in steps)
-        arrival = Arrival(0.0, self.kind, job, work_s, None, hopeless=False)
-        self.workers.know(arrival)
+        arrival = Arrival(0.0, self.kind, job, work_s, None, always_fails=False)
+        self.workers.add_arrival(arrival)
         self.watch.open_job(arrival)
         return job.job_id
 
@@ -60,9 +60,9 @@
         self.watch.note_end(ended)
 
     def look(self, seconds: float) -> None:
-        for _ in range(round(seconds / WATCH_S)):
+        for _ in range(round(seconds / WATCH_INTERVAL_S)):
             self.watch.look(self.listed, self.now_s)
-            self.now_s += WATCH_S
+            self.now_s += WATCH_INTERVAL_S
 
 
 def make_start(task: str, worker: str) -> StartTask:
@@ -153,7 +153,7 @@
     job_id = day.submit(1, HALF)
     day.look(2.5)
     day.start(job_id, "w0")
-    day.workers.take_crash("w0", day.now_s)
+    day.workers.end_worker("w0", day.now_s)
     day.look(2.5)
     assert day.full_stills.found == {}
 
@@ -165,7 +165,7 @@
     job_id = day.submit(1, first, second)
     day.start(job_id, "w0")
     day.list_done(job_id, "0.0.1")
-    day.workers.take_crash("w0", day.now_s)
+    day.workers.end_worker("w0", day.now_s)
     day.listed.append(make_listed("w0.1"))
     day.look(5.0)
     assert list(day.full_stills.found) == [(job_id, 0)]
@@ -207,7 +207,7 @@
     day.submit(1, HALF)
     if unsound == "crashed":
         for worker in ("w0", "w1"):
-            day.workers.take_crash(worker, 0.0)
+            day.workers.end_worker(worker, 0.0)
     day.look(5.0)
     assert day.full_stills.found == {}
 
@@ -222,10 +222,10 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_no_start_is_told_to_have_begun_that_has_not(seed, monkeypatch):
-    # Told so, the scheduler stopped the attempt again and again, and its job ended
-    # with the day.
+    # If a start that did not take place is confirmed, the scheduler stops the attempt
+    # over and over, and its job does not end.
     told = []
-    real_start = LabWorkers.start
+    real_start = SimulatedWorkers.start
     real_answer = FleetScheduler.take_start_answer
 
     def start(workers, order, now_s):
@@ -239,7 +239,7 @@
             told[-1].append(code is None)
         real_answer(scheduler, task, attempt, code, may_act, now_s)
 
-    monkeypatch.setattr(LabWorkers, "start", start)
+    monkeypatch.setattr(SimulatedWorkers, "start", start)
     monkeypatch.setattr(FleetScheduler, "take_start_answer", answer)
     replay(make_plan("faults", 24), seed, POLICY)
     assert told
@@ -266,8 +266,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_work_stands_still_while_accelerators_are_free(seed):
-    # Long work fills processors, and most accelerators are guaranteed though nobody
-    # claims them: what can't be stopped cheaply has to begin all the same.
+    # Long tasks fill the processors, and most accelerators are guaranteed but not
+    # claimed. Tasks that can't be stopped cheaply must be started there all the same.
     result = replay(make_plan("scarce", 24), seed, POLICY)
     assert result.stills.found == {}
 
@@ -276,14 +276,14 @@
 def test_workers_that_leave_for_good_do_not_come_back(seed):
     events = Events()
     plan = make_plan("departures", 24)
-    workers = LabWorkers(plan, seed, events, lambda *told: None)
+    workers = SimulatedWorkers(plan, seed, events, lambda *told: None)
     leaving = [events.pop() for _ in range(round(0.6 * 24))]
     assert not events
     for at_s, event in leaving:
         assert 2.0 <= at_s <= 10.0
-        assert workers.is_sound(event.worker, at_s)
+        assert workers.is_healthy(event.worker, at_s)
         workers.note_leaving(event.worker)
-        assert not workers.is_sound(event.worker, at_s)
+        assert not workers.is_healthy(event.worker, at_s)
     assert len({event.worker for _, event in leaving}) == len(leaving)
 
 
