--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, its workers and upstreams; not shipped."""
+"""Simulate the platform, its workers and upstreams for tests; not shipped."""
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: a log with offsets and a lagging list.
+"""Serve a stand-in for the platform: streams with offsets and an instance list.
 
 Faults are set by ``POST /faults``; see ``PlatformFaults``.
 """
@@ -18,7 +18,11 @@
 
 
 class PlatformFaults(msgspec.Struct):
-    """Hold the faults that are on; ``lose_replies`` counts down."""
+    """Faults to inject, and the limits of the streams.
+
+    ``lose_replies`` is the number of append replies that are still to be dropped.
+    ``retention`` is the number of records that a stream keeps.
+    """
 
     down: bool = False
     slow_ms: float = 0
@@ -33,7 +37,7 @@
     def __init__(self):
         self.oldest = 0
         self.entries: list[bytes] = []
-        self.grown = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def end(self) -> int:
@@ -45,26 +49,26 @@
         if surplus > 0:
             del self.entries[:surplus]
             self.oldest += surplus
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
         return self.end - 1
 
 
 class StandInPlatform:
-    """Keep streams and the list in memory, and bring about faults."""
+    """Streams and instance list in memory, subject to the injected faults."""
 
     def __init__(self):
         self.faults = PlatformFaults()
         self.streams: dict[str, _Stream] = {}
         self.instances: dict[tuple[str, str], Instance] = {}
-        self.shown = InstanceList()
+        self.published_list = InstanceList()
         self.version = 0
         self.append_times: list[float] = []
-        self.cut_callers: set[str] = set()
+        self.blocked_callers: set[str] = set()
 
     async def append(self, request: web.Request) -> web.Response:
         """Append the body as one record."""
-        await self._pass_faults(request)
+        await self._apply_faults(request)
         now_s = time.monotonic()
         self.append_times = [at for at in self.append_times if at > now_s - 1]
         if len(self.append_times) >= self.faults.appends_per_s:
@@ -78,31 +82,31 @@
         return web.json_response({"offset": offset})
 
     async def read(self, request: web.Request) -> web.Response:
-        """Return records from an offset, waiting for the first one."""
-        await self._pass_faults(request)
+        """Return records from an offset; wait up to ``wait_ms`` if there are none."""
+        await self._apply_faults(request)
         stream = self.streams.setdefault(request.match_info["stream"], _Stream())
         start = int(request.query["from"])
         wait_s = int(request.query.get("wait_ms", "0")) / 1000
         if start >= stream.end and wait_s > 0:
             try:
-                await asyncio.wait_for(stream.grown.wait(), wait_s)
+                await asyncio.wait_for(stream.appended.wait(), wait_s)
             except TimeoutError:
                 pass
-            await self._pass_faults(request)
+            await self._apply_faults(request)
         first = max(start, stream.oldest)
-        chosen = stream.entries[first - stream.oldest :][:500]
+        records = stream.entries[first - stream.oldest :][:500]
         entries = [
             {"offset": first + index, "data": base64.b64encode(data).decode()}
-            for index, data in enumerate(chosen)
+            for index, data in enumerate(records)
         ]
         return web.json_response(
             {"oldest": stream.oldest, "end": stream.end, "entries": entries}
         )
 
     async def get_list(self, request: web.Request) -> web.Response:
-        """Return the list as it is shown, which may be old."""
-        await self._pass_faults(request)
-        return web.Response(body=msgspec.json.encode(self.shown))
+        """Return the published instance list, which may be out of date."""
+        await self._apply_faults(request)
+        return web.Response(body=msgspec.json.encode(self.published_list))
 
     async def put_instances(self, request: web.Request) -> web.Response:
         """Add or replace instances on the list."""
@@ -113,14 +117,14 @@
         return web.json_response({"version": self.version})
 
     async def delete_instance(self, request: web.Request) -> web.Response:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         key = (request.match_info["kind"], request.match_info["name"])
         self.instances.pop(key, None)
         self._publish()
         return web.json_response({"version": self.version})
 
     async def put_faults(self, request: web.Request) -> web.Response:
-        """Set the faults named in the body; the others stay."""
+        """Set the faults named in the body; leave the others unchanged."""
         changes = msgspec.json.decode(await request.read())
         merged = msgspec.structs.asdict(self.faults) | changes
         self.faults = msgspec.convert(merged, PlatformFaults)
@@ -128,28 +132,33 @@
             self._publish()
         return web.json_response(msgspec.structs.asdict(self.faults))
 
-    async def cut(self, request: web.Request) -> web.Response:
-        """Cut off the callers named in the body, by their User-Agent."""
-        self.cut_callers = set(msgspec.json.decode(await request.read()))
-        return web.json_response(sorted(self.cut_callers))
+    async def block_callers(self, request: web.Request) -> web.Response:
+        """Block exactly the callers in the body, by User-Agent: they get status 503."""
+        self.blocked_callers = set(msgspec.json.decode(await request.read()))
+        return web.json_response(sorted(self.blocked_callers))
 
     def _publish(self) -> None:
         self.version += 1
-        shown = InstanceList(self.version, tuple(self.instances.values()))
+        published_list = InstanceList(self.version, tuple(self.instances.values()))
         if self.faults.list_frozen:
             return
         if self.faults.list_lag_ms > 0:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.faults.list_lag_ms / 1000, self._show, shown)
+            loop.call_later(
+                self.faults.list_lag_ms / 1000, self._set_published_list, published_list
+            )
         else:
-            self._show(shown)
+            self._set_published_list(published_list)
 
-    def _show(self, shown: InstanceList) -> None:
-        if not self.faults.list_frozen and shown.version > self.shown.version:
-            self.shown = shown
+    def _set_published_list(self, published_list: InstanceList) -> None:
+        if (
+            not self.faults.list_frozen
+            and published_list.version > self.published_list.version
+        ):
+            self.published_list = published_list
 
-    async def _pass_faults(self, request: web.Request) -> None:
-        if request.headers.get("User-Agent") in self.cut_callers:
+    async def _apply_faults(self, request: web.Request) -> None:
+        if request.headers.get("User-Agent") in self.blocked_callers:
             raise web.HTTPServiceUnavailable
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1000)
@@ -168,7 +177,7 @@
             web.post("/instances", platform.put_instances),
             web.delete("/instances/{kind}/{name}", platform.delete_instance),
             web.post("/faults", platform.put_faults),
-            web.post("/cut", platform.cut),
+            web.post("/cut", platform.block_callers),
         ]
     )
     return app
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serve one stand-in as a process until it is told to stop."""
+"""Serve stand-ins in a process until it receives SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -10,7 +10,7 @@
 
 
 async def start_site(app: web.Application, address: str, port: int) -> web.AppRunner:
-    """Serve ``app``; port 0 takes a free one, see ``runner.addresses``."""
+    """Serve ``app``; port 0 picks a free port, see ``runner.addresses``."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, address, port, backlog=1024).start()
@@ -18,7 +18,10 @@
 
 
 def serve_forever(start) -> None:
-    """Run the coroutine function ``start``, which returns the runners to close."""
+    """Call ``start``, print the ports, and close the runners on SIGTERM or SIGINT.
+
+    ``start`` is a coroutine function that returns a list of ``web.AppRunner``.
+    """
 
     async def run() -> None:
         stopped = asyncio.Event()
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand in for the runners of a service: slots, connections, and faults.
+"""Serve stand-ins for the runners of a service: slots, connections, and faults.
 
 Each runner listens on its own port. The body of a request is JSON and may hold
 ``work_ms`` and ``marker``; every execution is written to a journal.
@@ -18,7 +18,7 @@
 
 
 class UpstreamFaults(msgspec.Struct):
-    """Hold the faults that are on; counts go down as they are used."""
+    """Faults to inject; integers count how often a fault still applies."""
 
     reset_before_run: int = 0
     reset_after_run: int = 0
@@ -30,7 +30,7 @@
 
 
 class Execution(msgspec.Struct, frozen=True):
-    """Note one execution at monotonic times in seconds."""
+    """One execution of a request; times are monotonic, in seconds."""
 
     runner: str
     marker: str
@@ -39,7 +39,7 @@
 
 
 class StandInRunner:
-    """Run requests on a few slots."""
+    """Runner with a limited number of slots and connections."""
 
     def __init__(self, name: str, slots: int, connections: int):
         self.name = name
@@ -51,12 +51,12 @@
         self._slots = asyncio.Semaphore(slots)
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Run one request and answer it, unless a fault says otherwise."""
+        """Run one request and answer it, subject to the injected faults."""
         self.received += 1
-        if self._use_fault("refuse") or self.in_flight >= self.connections:
+        if self._consume_fault("refuse") or self.in_flight >= self.connections:
             headers = {NOT_RUN_HEADER: "1", "Retry-After": "1", **self._echo(request)}
             return web.Response(status=503, headers=headers)
-        if self._use_fault("reset_before_run"):
+        if self._consume_fault("reset_before_run"):
             request.transport.abort()
             return web.Response()
         body = msgspec.json.decode(await request.read() or b"{}")
@@ -78,14 +78,14 @@
             )
 
     async def _answer(self, request: web.Request, body: dict) -> web.StreamResponse:
-        if self._use_fault("reset_after_run"):
+        if self._consume_fault("reset_after_run"):
             request.transport.abort()
             return web.Response()
         answer = msgspec.json.encode(
             {"runner": self.name, "marker": body.get("marker", "")}
         )
         headers = self._echo(request)
-        if self._use_fault("truncate"):
+        if self._consume_fault("truncate"):
             response = web.StreamResponse(headers=headers)
             response.content_length = len(answer)
             await response.prepare(request)
@@ -95,9 +95,9 @@
         response = web.Response(
             body=answer, headers=headers, content_type="application/json"
         )
-        if self._use_fault("double"):
+        if self._consume_fault("double"):
             loop = asyncio.get_running_loop()
-            loop.call_later(0.01, self._write_again, request.transport, answer)
+            loop.call_later(0.01, self._write_duplicate, request.transport, answer)
         return response
 
     def _echo(self, request: web.Request) -> dict[str, str]:
@@ -105,16 +105,16 @@
             return {}
         return {REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]}
 
-    def _write_again(self, transport, answer: bytes) -> None:
+    def _write_duplicate(self, transport, answer: bytes) -> None:
         head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(answer)}\r\n\r\n"
         if transport is not None and not transport.is_closing():
             transport.write(head.encode() + answer)
 
-    def _use_fault(self, name: str) -> bool:
-        left = getattr(self.faults, name)
-        if left > 0:
-            setattr(self.faults, name, left - 1)
-        return left > 0
+    def _consume_fault(self, name: str) -> bool:
+        remaining = getattr(self.faults, name)
+        if remaining > 0:
+            setattr(self.faults, name, remaining - 1)
+        return remaining > 0
 
 
 def create_app(runner: StandInRunner) -> web.Application:
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,7 +1,7 @@
-"""Stand in for workers: leases, tasks, reports, and faults that can be set.
+"""Serve stand-ins for workers: leases, tasks, reports, and injected faults.
 
 One process serves many workers. A task's payload may hold ``run_s=SECONDS`` and
-``fail=1``. Every change of a task is written to a journal for the checkers.
+``fail=1``. Every change of a task is written to a journal that the tests check.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 
 class WorkerFaults(msgspec.Struct):
-    """Hold the faults that are on; counts go down as they are used."""
+    """Faults to inject; integers count how often a fault still applies."""
 
     dead: bool = False
     frozen: bool = False
@@ -44,7 +44,7 @@
 
 
 class JournalEntry(msgspec.Struct, frozen=True):
-    """Note one change of one task at a monotonic time in seconds."""
+    """One change of one task; ``at_s`` is a monotonic time in seconds."""
 
     at_s: float
     worker: str
@@ -64,7 +64,7 @@
     checkpointed: bool = False
 
     def report(self) -> TaskReport:
-        """Return the task as it is reported."""
+        """Return the report of this task."""
         return TaskReport(
             self.command.job_id,
             self.command.attempt,
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class StandInWorker:
-    """Keep the lease and the tasks of one worker."""
+    """Lease, tasks and journal of one worker."""
 
     name: str
     accelerators: int
@@ -86,57 +86,65 @@
     journal: list[JournalEntry] = field(default_factory=list)
     holder: str = ""
     epoch: int = 0
-    lease_until_s: float = 0.0
-    tasks_until_s: float = 0.0
+    lease_end_s: float = 0.0
+    task_term_end_s: float = 0.0
     tasks: dict[tuple[str, int, int], _Task] = field(default_factory=dict)
 
     def lease(self, request: LeaseRequest, now_s: float) -> LeaseReply:
-        """Grant the lease to its holder, or to a newer epoch once it lapsed."""
-        lapsed = now_s >= self.lease_until_s
+        """Grant or renew the lease.
+
+        The holder may renew an unexpired lease, or take a newer epoch at any time;
+        another owner needs a newer epoch and an expired lease.
+        """
+        expired = now_s >= self.lease_end_s
         same = request.holder == self.holder and request.epoch == self.epoch
         newer = request.epoch > self.epoch
-        granted = (same and not lapsed) or (newer and lapsed)
+        granted = (same and not expired) or (newer and expired)
         granted = granted or (newer and request.holder == self.holder)
         if granted:
             self.holder = request.holder
             self.epoch = request.epoch
-            self.lease_until_s = now_s + request.term_s
-            self.tasks_until_s = now_s + request.task_term_s
-        left_s = max(0.0, self.lease_until_s - now_s)
+            self.lease_end_s = now_s + request.term_s
+            self.task_term_end_s = now_s + request.task_term_s
+        left_s = max(0.0, self.lease_end_s - now_s)
         tasks = tuple(task.report() for task in self.tasks.values())
         return LeaseReply(granted, self.holder, self.epoch, left_s, tasks)
 
     def command(self, request: CommandRequest, now_s: float) -> CommandReply:
-        """Carry out commands from the holder of the unexpired lease."""
-        holds = request.holder == self.holder and request.epoch == self.epoch
-        if not holds or now_s >= self.lease_until_s:
+        """Execute commands of the holder of the unexpired lease; fence off others."""
+        is_holder = request.holder == self.holder and request.epoch == self.epoch
+        if not is_holder or now_s >= self.lease_end_s:
             return CommandReply(fenced=True)
-        done = tuple(self._carry_out(command, now_s) for command in request.commands)
+        done = tuple(self._execute(command, now_s) for command in request.commands)
         return CommandReply(False, done)
 
     def tick(self, now_s: float) -> None:
-        """Let time pass: work proceeds, holds and the task term run out."""
+        """Advance the tasks to ``now_s``.
+
+        Drops prepared tasks whose hold has expired, stops active tasks whose term
+        has expired, and ends running tasks that are finished or fail.
+        """
         for key, task in list(self.tasks.items()):
-            since_s = now_s - task.changed_s
-            if task.state is TaskState.PREPARED and since_s > task.command.hold_s:
+            in_state_s = now_s - task.changed_s
+            if task.state is TaskState.PREPARED and in_state_s > task.command.hold_s:
                 del self.tasks[key]
-                self._note(task, "dropped", now_s)
-            elif task.state in ACTIVE and now_s > self.tasks_until_s:
-                self._change(task, TaskState.STOPPED, now_s)
+                self._record(task, "dropped", now_s)
+            elif task.state in ACTIVE and now_s > self.task_term_end_s:
+                self._set_state(task, TaskState.STOPPED, now_s)
             elif task.state is TaskState.RUNNING:
-                self._work(task, now_s)
+                self._advance_running(task, now_s)
 
-    def _work(self, task: _Task, now_s: float) -> None:
+    def _advance_running(self, task: _Task, now_s: float) -> None:
         task.elapsed_s = now_s - task.changed_s
         payload = dict(
             part.split("=", 1) for part in task.command.payload.split() if "=" in part
         )
         if self.faults.fail_tasks or payload.get("fail") == "1":
-            self._change(task, TaskState.FAILED, now_s)
+            self._set_state(task, TaskState.FAILED, now_s)
         elif task.elapsed_s >= float(payload.get("run_s", "0.2")):
-            self._change(task, TaskState.FINISHED, now_s)
+            self._set_state(task, TaskState.FINISHED, now_s)
 
-    def _carry_out(self, command: TaskCommand, now_s: float) -> bool:
+    def _execute(self, command: TaskCommand, now_s: float) -> bool:
         key = (command.job_id, command.attempt, command.member)
         task = self.tasks.get(key)
         match command.verb:
@@ -150,10 +158,10 @@
                 task.checkpointed = True
             case Verb.THROTTLE:
                 if task is not None and task.state is TaskState.RUNNING:
-                    self._change(task, TaskState.THROTTLED, now_s)
+                    self._set_state(task, TaskState.THROTTLED, now_s)
             case Verb.STOP:
                 if task is not None and task.state not in ENDED:
-                    self._change(task, TaskState.STOPPED, now_s)
+                    self._set_state(task, TaskState.STOPPED, now_s)
             case Verb.FORGET:
                 if task is not None and task.state in ENDED:
                     del self.tasks[key]
@@ -171,7 +179,7 @@
             return False
         task = _Task(command, TaskState.PREPARED, now_s)
         self.tasks[key] = task
-        self._note(task, TaskState.PREPARED.value, now_s)
+        self._record(task, TaskState.PREPARED.value, now_s)
         return True
 
     def _start(self, task: _Task | None, now_s: float) -> bool:
@@ -181,7 +189,7 @@
             self.faults.drop_starts -= 1
             return False
         if task.state is TaskState.PREPARED:
-            self._change(task, TaskState.RUNNING, now_s)
+            self._set_state(task, TaskState.RUNNING, now_s)
         return task.state not in (TaskState.STOPPED, TaskState.FAILED)
 
     def _get_busy_mask(self) -> int:
@@ -191,12 +199,12 @@
                 mask |= task.command.accelerators
         return mask
 
-    def _change(self, task: _Task, state: TaskState, now_s: float) -> None:
+    def _set_state(self, task: _Task, state: TaskState, now_s: float) -> None:
         task.state = state
         task.changed_s = now_s
-        self._note(task, state.value, now_s)
+        self._record(task, state.value, now_s)
 
-    def _note(self, task: _Task, event: str, now_s: float) -> None:
+    def _record(self, task: _Task, event: str, now_s: float) -> None:
         command = task.command
         self.journal.append(
             JournalEntry(
