--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Start the stand-ins and three instances, and show the system at work."""
+"""Run a small cluster of stand-ins and instances, and demonstrate its functions."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,6 +1,6 @@
-"""Show one request, one change and one gang job on separate processes.
+"""Demonstrate a configuration change, requests and gang jobs on a local cluster.
 
-Exits with 1 where any step fails; everything that was started is stopped.
+Exits with 1 if any step fails; stops every process that it started.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Figures:
-    """Hold what the run measured; times are in seconds."""
+    """Results of the run; times are in seconds."""
 
     answered: int = 0
     other: int = 0
@@ -33,7 +33,10 @@
 
 
 def read_cluster(name: str, whole: bool) -> tuple[ClusterShape, dict]:
-    """Return the shape and the intent of an example cluster."""
+    """Return the shape and the intent of an example cluster.
+
+    Unless ``whole``, each hall has only 4 workers and 2 runners.
+    """
     shape = pyjson5.decode((EXAMPLES / name / "cluster.json").read_text())
     intent = pyjson5.decode((EXAMPLES / name / "intent.json").read_text())
     halls = tuple(shape.pop("halls"))
@@ -42,8 +45,8 @@
     return ClusterShape(halls=halls, **shape), intent
 
 
-async def show(cluster: Cluster, intent: dict, figures: Figures) -> None:
-    """Go through the steps of the demo."""
+async def run_steps(cluster: Cluster, intent: dict, figures: Figures) -> None:
+    """Run the steps of the demo in order."""
     halls = cluster.shape.halls
     first = cluster.get_instances(halls[0])[0]
     await change_configuration(cluster, first, intent, figures)
@@ -55,11 +58,13 @@
     """Plan and confirm an intent and wait until it is in force in every hall."""
     configured = {key: value for key, value in intent.items() if key != "jobs"}
     planned = await cluster.post(first, "/v1/plans", configured)
-    say(f"plan: code {planned.code}, {len(planned.json()['lines'])} changes")
+    print_line(f"plan: code {planned.code}, {len(planned.json()['lines'])} changes")
     began_s = time.monotonic()
     path = f"/v1/plans/{planned.json()['plan_id']}/confirm"
     confirmed = await cluster.post(first, path)
-    say(f"confirm: code {confirmed.code}, revision {confirmed.json()['revision']}")
+    print_line(
+        f"confirm: code {confirmed.code}, revision {confirmed.json()['revision']}"
+    )
 
     async def in_force() -> bool:
         for hall in cluster.shape.halls:
@@ -72,11 +77,15 @@
     await wait_for(in_force, "the revision is in force everywhere")
     figures.in_force_s = time.monotonic() - began_s
     halls = ", ".join(cluster.shape.halls)
-    say(f"in force in {halls} after {figures.in_force_s * 1000:.0f} ms")
+    print_line(f"in force in {halls} after {figures.in_force_s * 1000:.0f} ms")
 
 
 async def send_requests(cluster, intent, figures) -> None:
-    """Send requests to every hall and check each answer."""
+    """Send requests to every hall and check the answers.
+
+    Then sends one request that is not repeatable to two halls under the same
+    idempotency key; the second must get ``CLAIMED_BEFORE``.
+    """
     customers = [customer["name"] for customer in intent["customers"]]
     names = [cluster.get_instances(hall)[0] for hall in cluster.shape.halls]
     numbers = iter(range(REQUESTS))
@@ -102,13 +111,15 @@
         Larkhoist_Repeatable="no",
         Idempotency_Key="proof-1",
     )
-    say(f"not repeatable: first code {once.code}, again elsewhere code {again.code}")
+    print_line(
+        f"not repeatable: first code {once.code}, again elsewhere code {again.code}"
+    )
     if (once.code, again.code) != (Code.ANSWERED, Code.CLAIMED_BEFORE):
         raise ProcessError("a request that is not repeatable was not claimed once")
 
 
 async def send_request(cluster, name, customer, number, figures) -> None:
-    """Send one request and check that the answer is its own."""
+    """Send one request and check that the answer carries its marker."""
     began_s = time.monotonic()
     answer = await cluster.send_request(
         name, {"marker": number, "work_ms": 5}, Larkhoist_Customer=customer
@@ -121,32 +132,36 @@
 
 
 async def run_jobs(cluster, first, intent, figures) -> None:
-    """Submit the gang jobs of the intent and wait for their ends."""
+    """Submit the gang jobs of the intent and wait until they have ended."""
     for job in intent["jobs"]:
         submitted = await cluster.post(first, "/v1/jobs", job)
-        say(f"job {job['name']}: code {submitted.code}, {submitted.json()['shape']}")
+        print_line(
+            f"job {job['name']}: code {submitted.code}, {submitted.json()['shape']}"
+        )
     for job in intent["jobs"]:
         ended = await cluster.wait_job(first, job["name"])
         code = Code(ended["code"])
         workers = ", ".join(ended["workers"])
-        say(f"job {job['name']}: code {int(code)} {code.name} in {ended['hall']}")
-        say(f"  members ran on {workers}")
+        print_line(
+            f"job {job['name']}: code {int(code)} {code.name} in {ended['hall']}"
+        )
+        print_line(f"  members ran on {workers}")
         if code is not Code.JOB_FINISHED:
             raise ProcessError(f"job {job['name']} ended with {code.name}")
         figures.jobs += 1
 
 
 def print_figures(figures: Figures) -> None:
-    """Print what the run measured."""
+    """Print the results of the run."""
     quantiles = [figures.latency.get_quantile_value(q) for q in (0.5, 0.99, 1.0)]
     text = ", ".join(f"{value * 1000:.1f}" for value in quantiles)
-    say(f"requests: {figures.answered} answered, {figures.other} otherwise")
-    say(f"completion time p50, p99, max: {text} ms (5 ms of work)")
-    say(f"jobs done: {figures.jobs}")
-    say(f"change in force everywhere after {figures.in_force_s * 1000:.0f} ms")
+    print_line(f"requests: {figures.answered} answered, {figures.other} otherwise")
+    print_line(f"completion time p50, p99, max: {text} ms (5 ms of work)")
+    print_line(f"jobs done: {figures.jobs}")
+    print_line(f"change in force everywhere after {figures.in_force_s * 1000:.0f} ms")
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Print one line of the demo."""
     print(text, flush=True)
 
@@ -158,15 +173,17 @@
     figures = Figures()
     try:
         await cluster.start()
-        say(f"started {len(cluster.processes)} processes for {arguments.cluster}")
-        await show(cluster, intent, figures)
+        print_line(
+            f"started {len(cluster.processes)} processes for {arguments.cluster}"
+        )
+        await run_steps(cluster, intent, figures)
         print_figures(figures)
     except (ProcessError, KeyError) as error:
-        say(f"failed: {error!r}")
+        print_line(f"failed: {error!r}")
         return 1
     finally:
         await cluster.close()
-    say("stopped everything")
+    print_line("stopped everything")
     return 0 if figures.answered == REQUESTS else 1
 
 
@@ -175,7 +192,9 @@
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--cluster", choices=("bangkok", "sicily"), default="bangkok")
     parser.add_argument(
-        "--whole", action="store_true", help="today's whole size, not a cut of it"
+        "--whole",
+        action="store_true",
+        help="start all workers and runners, not 4 and 2 per hall",
     )
     sys.exit(asyncio.run(run(parser.parse_args())))
 
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -1,4 +1,4 @@
-"""Start a small cluster of separate processes on loopback, and stop it whole.
+"""Start and stop a small cluster of separate processes on the loopback address.
 
 The demo, the measurements and the tests share this module; it is not shipped.
 """
@@ -33,12 +33,12 @@
 
 
 class ProcessError(Exception):
-    """Report that a process did not start or something was not reached in time."""
+    """A process did not start or stop, or a condition was not met, in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterShape:
-    """Hold the size of a cluster; counts are per data hall."""
+    """Size of a cluster; counts are per data hall, slots per runner."""
 
     halls: tuple[str, ...] = ("hall-a", "hall-b", "hall-c")
     instances: int = 1
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """Hold one process of the cluster."""
+    """One process of the cluster."""
 
     name: str
     handle: asyncio.subprocess.Process
@@ -64,23 +64,23 @@
     frozen: bool = False
 
     def kill(self) -> None:
-        """Kill the process at once."""
+        """Send SIGKILL if the process is running."""
         if self.handle.returncode is None:
             self.handle.send_signal(signal.SIGKILL)
 
     def freeze(self) -> None:
-        """Stop the process where it is."""
+        """Suspend the process with SIGSTOP."""
         self.frozen = True
         self.handle.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process with SIGCONT."""
         self.frozen = False
         self.handle.send_signal(signal.SIGCONT)
 
 
 class Cluster:
-    """Own the processes of one cluster."""
+    """Processes of one cluster, with their ports, settings and logs."""
 
     def __init__(self, shape: ClusterShape, daemon: str):
         self.shape = shape
@@ -109,7 +109,7 @@
         await asyncio.gather(*map(self.wait_ready, self._settings))
 
     async def close(self) -> None:
-        """Stop every process and remove what was written."""
+        """Stop every process and delete the settings and logs."""
         for process in self.processes.values():
             if process.handle.returncode is None:
                 if process.frozen:
@@ -128,12 +128,12 @@
         self._folder.cleanup()
 
     async def kill(self, name: str) -> None:
-        """Kill a process and wait until it is gone."""
+        """Kill a process and wait until it has exited."""
         self.processes[name].kill()
         await self.processes[name].handle.wait()
 
     async def stop(self, name: str) -> None:
-        """Ask a process to stop and wait until it has."""
+        """Send SIGTERM to a process and wait until it has exited."""
         handle = self.processes[name].handle
         handle.terminate()
         try:
@@ -159,7 +159,7 @@
     # Processes.
 
     async def start_instance(self, name: str) -> Process:
-        """Start the daemon of one instance, or start it again."""
+        """Start or restart the daemon of one instance."""
         command = [
             sys.executable,
             "-m",
@@ -176,7 +176,7 @@
         return process
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until an instance serves."""
+        """Wait until an instance reports that it is ready."""
 
         async def is_ready() -> bool:
             try:
@@ -191,7 +191,7 @@
             raise ProcessError(f"{error}\n{self.read_log(name)[-4000:]}") from None
 
     def read_log(self, name: str) -> str:
-        """Return what an instance has logged."""
+        """Return the log of an instance."""
         log = self.processes[name].log
         return log.read_text(errors="replace") if log is not None else ""
 
@@ -291,7 +291,7 @@
         return f"http://{self.addresses[name]}{path}"
 
     async def cut_from_platform(self, *names: str) -> None:
-        """Cut instances off from the platform; no name heals all."""
+        """Block calls of just the named instances to the platform."""
         await self.post("platform", "/cut", list(names))
 
     async def post(self, name: str, path: str, data=None, headers=None) -> "Answer":
@@ -352,15 +352,15 @@
 
     async def wait_job(self, name: str, job: str, state: str = "ended") -> dict:
         """Wait until a job is in a state and return it."""
-        shown: dict = {}
+        job_status: dict = {}
 
-        async def is_there() -> bool:
-            nonlocal shown
-            shown = (await self.get(name, f"/v1/jobs/{job}")).json()
-            return shown.get("state") == state
+        async def has_state() -> bool:
+            nonlocal job_status
+            job_status = (await self.get(name, f"/v1/jobs/{job}")).json()
+            return job_status.get("state") == state
 
-        await wait_for(is_there, f"{job} is {state}", timeout_s=90.0)
-        return shown
+        await wait_for(has_state, f"{job} is {state}", timeout_s=90.0)
+        return job_status
 
     async def find_owner(self, hall: str, others: tuple[str, ...] = ()) -> str:
         """Wait until a live instance, none of ``others``, owns a hall."""
@@ -383,7 +383,7 @@
         return (await self.read_metric(name, "larkhoist_owner_epoch")) > 0
 
     async def read_metric(self, name: str, metric: str) -> float:
-        """Return one metric of an instance, 0 where it has none."""
+        """Return one metric of an instance, or 0 if it is absent."""
         page = (await self.get(name, "/metrics")).body.decode()
         for line in page.splitlines():
             if line.startswith((f"{metric} ", f"{metric}{{")):
@@ -393,7 +393,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold one answer."""
+    """Response of a process."""
 
     status: int
     body: bytes
@@ -414,7 +414,7 @@
     began_s = time.monotonic()
     while not await is_true():
         if time.monotonic() - began_s > timeout_s:
-            raise ProcessError(f"not in {timeout_s} s: {what}")
+            raise ProcessError(f"timed out after {timeout_s} s waiting for: {what}")
         await asyncio.sleep(0.05)
     return time.monotonic() - began_s
 
--- a/demo/ports.py
+++ b/demo/ports.py
@@ -8,35 +8,37 @@
 
 HOST = "127.0.0.1"
 INSTANCE_PORTS = range(20_000, 30_000)
-"""Below the ports that outgoing connections are given (Linux: from 32,768): a port
-that was free may be taken by one of them before the instance listens there."""
+"""Below the ephemeral ports (Linux: from 32,768), so that no outgoing connection can
+take a reserved port before the instance listens there."""
 
 
 class PortReservations:
-    """Own reservations of TCP ports, which other processes of the machine see.
+    """Reservations of TCP ports, effective across all processes of the machine.
 
-    A reservation is a bound UDP socket of the same number: it leaves the TCP port to
-    the process that listens there, and nobody else can reserve it meanwhile.
+    A reservation is a UDP socket bound to the same port number: the TCP port stays
+    free for the process that will listen there, and no other process can reserve it.
     """
 
     def __init__(self):
         self._sockets: list[socket.socket] = []
 
     def reserve(self, count: int) -> list[int]:
-        """Return TCP ports that are free now and that nobody has reserved.
+        """Return TCP ports that are free now and were not reserved.
 
-        Raises ``OSError`` if there are too few.
+        Raises ``OSError`` if fewer than ``count`` are available.
         """
         candidates = random.sample(INSTANCE_PORTS, len(INSTANCE_PORTS))
         ports = list(itertools.islice(filter(self._try_reserve, candidates), count))
         if len(ports) < count:
-            raise OSError(f"{count} ports wanted, {len(ports)} of {INSTANCE_PORTS}")
+            raise OSError(
+                f"{count} ports requested, {len(ports)} free in {INSTANCE_PORTS}"
+            )
         return ports
 
     def close(self) -> None:
-        """Give all reservations back."""
-        for one in self._sockets:
-            one.close()
+        """Release all reservations."""
+        for bound_socket in self._sockets:
+            bound_socket.close()
         self._sockets = []
 
     def _try_reserve(self, port: int) -> bool:
