--- a/tests/test_cluster_ports.py
+++ b/tests/test_cluster_ports.py
@@ -1,4 +1,4 @@
-"""Give each instance of each cluster on the machine ports of its own."""
+"""Check that instances of concurrent clusters on a machine get distinct ports."""
 
 import random
 import subprocess
@@ -31,8 +31,8 @@
 
 
 def test_ports_that_were_given_are_not_given_again(in_order, reservations):
-    # Instances listen later: until then a port that was given still seems free. Of six
-    # instances two shared a port in 0.6 % of all clusters (60 pairs, 10,000 ports).
+    # Until its instance listens, a port still seems free. Without reservations, two of
+    # six instances shared a port in 0.6 % of clusters (60 pairs, 10,000 ports).
     ports = [port for _ in range(6) for port in reservations.reserve(2)]
     assert len(set(ports)) == 12
     assert set(ports) <= set(INSTANCE_PORTS)
@@ -45,11 +45,11 @@
     with subprocess.Popen(
         command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     ) as other:
-        theirs = {int(port) for port in other.stdout.readline().split()}
-        ours = set(reservations.reserve(2))
+        other_ports = {int(port) for port in other.stdout.readline().split()}
+        own_ports = set(reservations.reserve(2))
         other.stdin.close()
-    assert len(theirs) == 2
-    assert not theirs & ours
+    assert len(other_ports) == 2
+    assert not other_ports & own_ports
 
 
 def test_ports_are_given_again_once_their_cluster_is_closed(in_order):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Compare whole sessions with golden files: one for each cluster and refusal."""
+"""Compare client sessions, refused inputs and their messages with snapshots."""
 
 import asyncio
 import json
@@ -11,11 +11,12 @@
 from demo.__main__ import read_cluster
 from larkhoist.codes import Code
 
-WIDE = {"COLUMNS": "200", "PATH": "/usr/bin:/bin"}
+# A fixed width: the layout of the output must not depend on the terminal.
+ENVIRONMENT = {"COLUMNS": "200", "PATH": "/usr/bin:/bin"}
 
 
 async def run_program(module, *arguments, stdin=None):
-    """Run a program of the package; return its exit code and what it said."""
+    """Run a module of the package; return its exit code and output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -23,16 +24,16 @@
         *map(str, arguments),
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
-        env=WIDE,
+        env=ENVIRONMENT,
     )
     output, _ = await process.communicate()
     return process.returncode, output.decode()
 
 
 def normalise(text):
-    """Replace what differs from run to run."""
+    """Replace the parts of the output that differ between runs."""
     text = re.sub(r"/\S*/(?=[^/]*\.json)", "", text)
-    # A job may be claimed already when its submission is answered.
+    # A job may already be claimed when its submission is answered.
     text = re.sub(r"^(state +)(pending|claimed)$", r"\1WAITING", text, flags=re.M)
     text = re.sub(r"^(hall +)\S+$", r"\1HALL", text, flags=re.M)
     text = re.sub(r"\b[0-9a-f]{12}\b", "PLAN", text)
@@ -41,23 +42,25 @@
 
 
 class Session:
-    """Hold what an operator typed and what the client answered."""
+    """Commands given to the client, with their output and exit codes."""
 
     def __init__(self, server):
         self._server = server
         self.lines = []
 
     async def run(self, *arguments):
-        """Run one command of the client and keep what it said."""
-        code, said = await run_program(
+        """Run one command of the client; record and return its output."""
+        code, printed = await run_program(
             "larkhoist.client.main", "--server", self._server, *arguments
         )
-        shown = " ".join(str(a).rsplit("/", 1)[-1] for a in arguments)
-        self.lines.append(f"$ larkhoist {normalise(shown)}\n{said.strip()}\n= {code}")
-        return said
+        command_line = " ".join(str(a).rsplit("/", 1)[-1] for a in arguments)
+        self.lines.append(
+            f"$ larkhoist {normalise(command_line)}\n{printed.strip()}\n= {code}"
+        )
+        return printed
 
     def read(self):
-        """Return the whole session."""
+        """Return the session as text, normalised."""
         return normalise("\n\n".join(self.lines))
 
 
@@ -165,16 +168,16 @@
 async def test_checked_settings(name, snapshot, tmp_path):
     file = tmp_path / f"{name}.json"
     file.write_text(BAD_SETTINGS[name])
-    code, said = await run_program("larkhoist.daemon.main", "--check", file)
-    said = said.replace(f"{tmp_path}/", "")
-    assert f"{said}= {code}" == snapshot
+    code, printed = await run_program("larkhoist.daemon.main", "--check", file)
+    printed = printed.replace(f"{tmp_path}/", "")
+    assert f"{printed}= {code}" == snapshot
 
 
 async def test_client_without_an_instance(snapshot):
-    code, said = await run_program(
+    code, printed = await run_program(
         "larkhoist.client.main", "--server", "127.0.0.1:1", "status"
     )
-    assert f"{normalise(said)}= {code}" == snapshot
+    assert f"{normalise(printed)}= {code}" == snapshot
 
 
 BAD_REQUESTS = {
