--- a/tests/checkers/gangs.py
+++ b/tests/checkers/gangs.py
@@ -1,4 +1,4 @@
-"""Check from the workers' journals that gangs ran whole or not at all."""
+"""Check the workers' journals: every gang ran whole or not at all."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class TaskEvent:
-    """Hold one change of one member at a time in seconds."""
+    """State change of one member of a gang; ``at_s`` is in seconds."""
 
     at_s: float
     job_id: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class GangViolation:
-    """Hold one broken promise about a gang."""
+    """Violation of a promise by one attempt of a gang."""
 
     job_id: str
     attempt: int
@@ -29,11 +29,11 @@
 def check_gangs(
     events: list[TaskEvent], sizes: dict[str, int], window_s: float, end_s: float
 ) -> list[GangViolation]:
-    """Return every broken promise.
+    """Return every violation.
 
     Three things are checked: no member starts before all were prepared, a part of
     a gang never runs for longer than ``window_s``, and no two attempts of one job
-    run at the same time. A member that finished counts as having done its part.
+    run at the same time. A finished member does not make its gang partial.
     """
     by_attempt: dict[tuple[str, int], list[TaskEvent]] = defaultdict(list)
     for event in sorted(events, key=lambda event: event.at_s):
@@ -66,14 +66,14 @@
         if partial and partial_since_s is None:
             partial_since_s = event.at_s
         elif not partial and partial_since_s is not None:
-            _note_partial(found, event.at_s - partial_since_s, window_s)
+            _report_partial(found, event.at_s - partial_since_s, window_s)
             partial_since_s = None
     if partial_since_s is not None:
-        _note_partial(found, end_s - partial_since_s, window_s)
+        _report_partial(found, end_s - partial_since_s, window_s)
     return found
 
 
-def _note_partial(found: list[str], lasted_s: float, window_s: float) -> None:
+def _report_partial(found: list[str], lasted_s: float, window_s: float) -> None:
     if lasted_s > window_s:
         found.append(f"ran in part for {lasted_s:.2f} s, over {window_s:.2f} s")
 
--- a/tests/checkers/requests.py
+++ b/tests/checkers/requests.py
@@ -1,4 +1,4 @@
-"""Check what callers were told against what the runners did."""
+"""Check the answers that callers got against what the runners executed."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True)
 class CallRecord:
-    """Hold one submission: ``marker`` is its own, ``key`` may be shared.
+    """One submission: ``marker`` is unique, ``key`` may be shared.
 
-    ``code`` is 0 where the caller got no answer at all.
+    ``code`` is 0 if the caller got no answer, and negative if no connection was made.
     """
 
     marker: str
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """Hold one broken promise."""
+    """Violation of the promise with the number ``promise``."""
 
     promise: int
     what: str
 
 
 def check_requests(calls: list[CallRecord], executed: list[str]) -> list[Violation]:
-    """Return every broken promise; ``executed`` holds a marker per execution."""
+    """Return every violation; ``executed`` holds one marker per execution."""
     counts = Counter(executed)
     violations: list[Violation] = []
     for call in calls:
--- a/tests/checkers/revisions.py
+++ b/tests/checkers/revisions.py
@@ -1,4 +1,4 @@
-"""Check that the configuration in force in a hall never goes back."""
+"""Check that the configuration in force on an instance never reverts."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True)
 class RevisionSample:
-    """Hold the revision that an instance served from at a time in seconds.
+    """Revision that an instance served from; ``at_s`` is in seconds.
 
-    Samples of one instance are taken one after the other.
+    Samples of one instance do not overlap in time.
     """
 
     at_s: float
@@ -18,9 +18,9 @@
 
 
 def find_reversions(samples: list[RevisionSample]) -> list[str]:
-    """Return a sentence for each instance that served from an older revision.
+    """Return a sentence for each sample that is older than the one before it.
 
-    A replaced instance counts as the one it replaces.
+    A replacement has the name of the instance it replaces and must not revert either.
     """
     newest: dict[str, int] = {}
     found = []
--- a/tests/checkers/test_checkers.py
+++ b/tests/checkers/test_checkers.py
@@ -1,4 +1,4 @@
-"""Check that the checkers find what is wrong in histories known to be bad."""
+"""Check that the checkers accept good histories and report bad ones."""
 
 import pytest
 
@@ -42,7 +42,7 @@
 
 
 def make_history(text, attempt=1):
-    """Read ``0.0 prepared 0`` lines: time, event and member."""
+    """Parse lines such as ``0.0 prepared 0``: time in seconds, event, member."""
     events = []
     for line in text.strip().splitlines():
         at, event, member = line.split()
