--- a/tests/broken/__init__.py
+++ b/tests/broken/__init__.py
@@ -1,4 +1,4 @@
-"""Run the daemon with one mechanism off, to see that its proof can fail.
+"""Run the daemon with one mechanism off, to show that its test can fail.
 
-These switches are in the tests only; the product has none.
+The mechanisms are replaced from the tests; the product has no such switches.
 """
--- a/tests/broken/no_answer_check.py
+++ b/tests/broken/no_answer_check.py
@@ -1,4 +1,4 @@
-"""Use connections again whether or not answers carry the request's id."""
+"""Reuse connections whether or not answers carry the request's id."""
 
 from dataclasses import replace
 
@@ -10,15 +10,15 @@
 
 
 async def exchange_on_used_connection(self, request, progress):
-    """Send on a connection that was used before."""
+    """Send the request over a reused connection if there is one."""
     return await _exchange(self, replace(request, reuse=True), progress)
 
 
 async def read_any_answer(response, request):
-    """Read the answer without looking at the request's id."""
+    """Read the answer without checking the request's id."""
     returned = response.headers.get(upstream.REQUEST_ID_HEADER, "")
-    trusting = replace(request, request_id=returned, reuse=False)
-    return await _read_answer(response, trusting)
+    unchecked = replace(request, request_id=returned, reuse=False)
+    return await _read_answer(response, unchecked)
 
 
 upstream.HttpUpstream._exchange = exchange_on_used_connection
--- a/tests/broken/no_claims.py
+++ b/tests/broken/no_claims.py
@@ -1,11 +1,11 @@
-"""Send requests that are not repeatable without a claim on the log."""
+"""Send requests that are not repeatable without a claim in the log."""
 
 from larkhoist.daemon.claimer import Claimer
 from larkhoist.daemon.main import main
 
 
 async def claim_nothing(self, call):
-    """Let every request pass."""
+    """Treat every request as claimed."""
     call.claimed_s = float("inf")
 
 
--- a/tests/broken/no_drain.py
+++ b/tests/broken/no_drain.py
@@ -1,4 +1,4 @@
-"""Stop without waiting for requests that are under way."""
+"""Stop without waiting for requests in progress."""
 
 from larkhoist.daemon import instance
 from larkhoist.daemon.entry import EntryTask
@@ -6,12 +6,12 @@
 
 
 async def drain_nothing(self, timeout_s):
-    """Wait for nothing."""
+    """Return at once, without waiting."""
     return False
 
 
 EntryTask.drain = drain_nothing
-# To the HTTP library 0 means no limit.
+# Not 0, which aiohttp treats as no limit.
 instance.HANDLER_SHUTDOWN_S = 0.001
 instance.LINGER_S = 0.0
 
--- a/tests/broken/no_leaving.py
+++ b/tests/broken/no_leaving.py
@@ -1,4 +1,4 @@
-"""Go on sending to upstreams that are leaving."""
+"""Keep sending requests to upstreams that are leaving."""
 
 from larkhoist.daemon.main import main
 from larkhoist.requests.upstream_set import UpstreamSet
--- a/tests/broken/no_readiness.py
+++ b/tests/broken/no_readiness.py
@@ -1,4 +1,4 @@
-"""Serve at once, before the state is as new as that of the peers."""
+"""Report ready at once, before the state has caught up with the peers."""
 
 from larkhoist.daemon import instance
 from larkhoist.daemon.main import main
--- a/tests/broken/no_send_account.py
+++ b/tests/broken/no_send_account.py
@@ -1,4 +1,4 @@
-"""Take every broken connection for one over which nothing was sent."""
+"""Treat every broken connection as one over which nothing was sent."""
 
 from larkhoist.adapters import upstream
 from larkhoist.daemon.main import main
