--- a/tests/promises/__init__.py
+++ b/tests/promises/__init__.py
@@ -1,1 +1,1 @@
-"""Prove each promise on real processes and on the pure core."""
+"""Test each promise on real processes and on the scheduling core alone."""
--- a/tests/promises/__main__.py
+++ b/tests/promises/__main__.py
@@ -1,4 +1,4 @@
-"""Run the proofs of all promises and print a line of evidence for each."""
+"""Run the tests of all promises and print a line of results for each."""
 
 import sys
 
--- a/tests/promises/background.py
+++ b/tests/promises/background.py
@@ -1,4 +1,4 @@
-"""Run something beside a test until its block ends."""
+"""Run a background task for the length of an ``async with`` block."""
 
 import asyncio
 
--- a/tests/promises/balancer.py
+++ b/tests/promises/balancer.py
@@ -1,4 +1,4 @@
-"""Send callers to instances that say that they are ready, as the platform does."""
+"""Choose among instances that report themselves ready, as the platform does."""
 
 import asyncio
 
@@ -14,7 +14,10 @@
 
 
 class Balancer(Background):
-    """Ask every instance at intervals whether it may get requests."""
+    """Load balancer that polls the readiness of every instance.
+
+    If no instance is ready, the last non-empty choice stays in use.
+    """
 
     def __init__(self, cluster: Cluster, names: list[str]):
         self._cluster = cluster
@@ -22,7 +25,7 @@
         self.ready = list(names)
 
     def choose(self, callers: Callers) -> str:
-        """Return a ready instance."""
+        """Return the name of a ready instance, drawn at random."""
         return callers.random.choice(self.ready)
 
     async def _run(self) -> None:
--- a/tests/promises/callers.py
+++ b/tests/promises/callers.py
@@ -1,4 +1,4 @@
-"""Call a cluster as many callers at once and record what each was told."""
+"""Send requests from concurrent callers to a cluster and record each outcome."""
 
 import asyncio
 import random
@@ -12,15 +12,22 @@
 from tests.checkers.requests import CallRecord, Violation, check_requests
 from tests.promises.background import Background
 
-__all__ = ["CUSTOMER", "NOT_CONNECTED", "Callers", "FaultLoop", "configure", "judge"]
+__all__ = [
+    "CUSTOMER",
+    "NOT_CONNECTED",
+    "Callers",
+    "FaultInjector",
+    "check_history",
+    "configure",
+]
 
 CUSTOMER = "workshop"
 NOT_CONNECTED = -1
-QUIET_S = 0.6
+EXECUTIONS_POLL_S = 0.6
 
 
 async def configure(cluster: Cluster, **service) -> None:
-    """Put one customer and one service into force in every hall."""
+    """Confirm one customer and one service and wait until every instance has them."""
     hall = cluster.shape.halls[0]
     intent = {
         "customers": [{"name": CUSTOMER}],
@@ -35,20 +42,24 @@
 
 
 class Callers:
-    """Hold the history of all calls."""
+    """Callers that share one random generator and record every call."""
 
     def __init__(self, cluster: Cluster, seed: int):
         self.cluster = cluster
         self.calls: list[CallRecord] = []
         self.random = random.Random(seed)
-        self._numbers = 0
+        self._call_count = 0
 
     async def call(
         self, name: str, key: str = "", work_ms: int = 5, deadline_ms: int = 3000
     ) -> CallRecord:
-        """Send one request; one with a key is not repeatable."""
-        self._numbers += 1
-        marker = f"{key or 'request'}/{self._numbers}"
+        """Send one request and record it.
+
+        A request with a key is sent as not repeatable. ``code`` of the record is
+        ``NOT_CONNECTED`` if no connection was made, and 0 if no answer came.
+        """
+        self._call_count += 1
+        marker = f"{key or 'request'}/{self._call_count}"
         headers = {
             "Larkhoist-Customer": CUSTOMER,
             "Larkhoist-Deadline-Ms": str(deadline_ms),
@@ -70,8 +81,12 @@
         self.calls.append(record)
         return record
 
-    async def run(self, names: Sequence[str], count: int, loops: int, keyed=0.5):
-        """Send ``count`` requests from ``loops`` callers at once."""
+    async def run(self, names: Sequence[str], count: int, loops: int, keyed_share=0.5):
+        """Run ``count`` calls from ``loops`` concurrent callers.
+
+        ``keyed_share`` is the fraction of the calls that carry a key; such a call
+        may submit its key more than once.
+        """
         numbers = iter(range(count))
 
         async def loop() -> None:
@@ -79,15 +94,15 @@
                 name = self.random.choice(names)
                 work_ms = self.random.choice((1, 5, 20))
                 deadline_ms = self.random.choice((300, 3000))
-                if self.random.random() >= keyed:
+                if self.random.random() >= keyed_share:
                     await self.call(name, "", work_ms, deadline_ms)
                 else:
-                    await self._call_again(names, f"key-{number}", work_ms)
+                    await self._submit_key(names, f"key-{number}", work_ms)
 
         await asyncio.gather(*(loop() for _ in range(loops)))
 
-    async def _call_again(self, names, key, work_ms) -> None:
-        """Submit a key up to three times, through any instance."""
+    async def _submit_key(self, names, key, work_ms) -> None:
+        """Submit a key until it is answered, at most three times."""
         for _ in range(3):
             record = await self.call(self.random.choice(names), key, work_ms, 2500)
             if record.code == Code.ANSWERED:
@@ -98,8 +113,11 @@
         return await asyncio.gather(*(self.call(name, key) for name in names))
 
 
-class FaultLoop(Background):
-    """Bring about faults at intervals while the callers run."""
+class FaultInjector(Background):
+    """Background task that injects a random fault every ``interval_s`` seconds.
+
+    ``counts`` receives the number of injections by the name of the fault.
+    """
 
     def __init__(
         self,
@@ -115,21 +133,21 @@
 
     async def _run(self) -> None:
         while True:
-            name, bring_about = self._random.choice(self._faults)
-            await bring_about()
+            name, inject_fault = self._random.choice(self._faults)
+            await inject_fault()
             self._counts[name] += 1
             await asyncio.sleep(self._interval_s)
 
 
-async def judge(callers: Callers) -> list[Violation]:
-    """Wait until the runners are quiet and check the whole history."""
+async def check_history(callers: Callers) -> list[Violation]:
+    """Wait until the runners execute nothing more and check the whole history."""
     before = None
     while True:
         executed = await callers.cluster.read_executions()
         if executed == before:
             break
         before = executed
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(EXECUTIONS_POLL_S)
     return check_requests(callers.calls, [item["marker"] for item in executed])
 
 
--- a/tests/promises/hall_machine.py
+++ b/tests/promises/hall_machine.py
@@ -1,7 +1,7 @@
-"""Drive the hall scheduler against stand-in workers on a passed clock.
+"""Simulate one hall: the scheduler, stand-in workers, a log and a simulated clock.
 
-The machine loses, doubles and delays commands, kills and freezes workers, and
-replaces the owner, in any order that hypothesis finds.
+Tests lose replies (commands are then sent again), delay commands, kill and cut off
+workers, and freeze and replace the owner, in any order.
 """
 
 from dataclasses import dataclass, field
@@ -30,7 +30,7 @@
 
 @dataclass
 class Owner:
-    """Hold one instance that owns the hall or tries to."""
+    """Instance that owns the hall or tries to; times are in seconds."""
 
     name: str
     tenure: Tenure
@@ -42,7 +42,7 @@
 
 
 class HallMachine:
-    """Hold workers, a log and owners, and let time pass in steps."""
+    """Simulated hall whose clock advances in steps of ``STEP_S`` seconds."""
 
     def __init__(self, workers: int, accelerators: int = 8, policy=None):
         self.now_s = 100.0
@@ -50,30 +50,30 @@
         self.workers = {
             f"w{n}": StandInWorker(f"w{n}", accelerators) for n in range(workers)
         }
-        self.facts = {
+        self.known_workers = {
             name: ListedWorker(f"r{number // 8}", accelerators)
             for number, name in enumerate(self.workers)
         }
-        self.listed = dict(self.facts)
+        self.listed = dict(self.known_workers)
         self.dead: set[str] = set()
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.lose_replies: set[str] = set()
         self.state = ClusterState()
         self.log_down = False
         self.pending: list[Record] = []
         self.sizes: dict[str, int] = {}
-        self.extra: list[TaskEvent] = []
+        self.loss_events: list[TaskEvent] = []
         self.owners: list[Owner] = []
         self.make_scheduler = create_hall_scheduler
 
-    # What happens from outside.
+    # External events.
 
     def put_customer(self, spec: CustomerSpec) -> None:
-        """Put a customer into force."""
+        """Add or replace a customer."""
         self.state.customers[spec.name] = spec
 
     def submit(self, spec: JobSpec) -> None:
-        """Submit a job that this hall claims."""
+        """Submit a job and claim it for this hall."""
         self.sizes[spec.job_id] = spec.members
         self._append(JobPut(spec))
         self._append(JobClaimed(spec.job_id, HALL))
@@ -83,19 +83,19 @@
         self._append(JobCancelled(job_id))
 
     def add_owner(self, name: str) -> Owner:
-        """Let an instance try for the hall."""
+        """Add an instance that competes for ownership of the hall."""
         owner = Owner(name, Tenure(name, TERMS))
         owner.tenure.set_workers(set(self.listed), self.now_s)
         self.owners.append(owner)
         return owner
 
     def kill_worker(self, name: str) -> None:
-        """Kill a worker with all its tasks."""
+        """Kill a worker and lose all its tasks."""
         self.dead.add(name)
         for task in self.workers[name].tasks.values():
             command = task.command
             if task.state.value in ("running", "throttled"):
-                self.extra.append(
+                self.loss_events.append(
                     TaskEvent(
                         self.now_s,
                         command.job_id,
@@ -107,33 +107,33 @@
         self.workers[name].tasks.clear()
 
     def revive_worker(self, name: str) -> None:
-        """Bring a dead worker back, empty."""
+        """Restart a dead worker without tasks."""
         self.dead.discard(name)
 
     def unlist_worker(self, name: str) -> None:
-        """Take a worker off the platform's list; it does not know of that."""
+        """Remove a worker from the platform's list; it goes on running."""
         self.listed.pop(name, None)
-        self._share_list()
+        self._update_owners()
 
     def relist_worker(self, name: str) -> None:
         """Put a worker back on the platform's list."""
-        self.listed[name] = self.facts[name]
-        self._share_list()
+        self.listed[name] = self.known_workers[name]
+        self._update_owners()
 
-    def _share_list(self) -> None:
+    def _update_owners(self) -> None:
         for owner in self.owners:
             owner.tenure.set_workers(set(self.listed), self.now_s)
 
-    # Time.
+    # Clock.
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock by ``seconds``, rounded up to whole steps."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.step()
 
     def step(self) -> None:
-        """Let one step of time pass for everyone."""
+        """Advance the clock, the workers, the log and the owners by one step."""
         self.now_s += STEP_S
         for name, worker in self.workers.items():
             if name not in self.dead:
@@ -147,14 +147,14 @@
                 self._step_owner(owner)
 
     def get_events(self) -> list[TaskEvent]:
-        """Return all that happened to tasks."""
+        """Return every change of a task, in no particular order."""
         events = [
             TaskEvent(e.at_s, e.job_id, e.attempt, e.member, e.event)
             for worker in self.workers.values()
             for e in worker.journal
             if e.event != "dropped"
         ]
-        return events + self.extra
+        return events + self.loss_events
 
     def _append(self, record: Record) -> None:
         if self.log_down:
@@ -168,8 +168,8 @@
         fold_batch(self.state, offset, Batch("w", offset + 1, at_ms, (record,)))
 
     def _step_owner(self, owner: Owner) -> None:
-        # What was decided before a freeze leaves after it.
-        self._send(owner)
+        # Commands decided before a freeze are sent after it.
+        self._send_outbox(owner)
         tenure = owner.tenure
         if not tenure.is_trying:
             if self.now_s < owner.next_try_s or not self._is_candidate(owner):
@@ -181,10 +181,10 @@
                 self._renew(owner, name)
         tenure.update(self.now_s)
         if owner.scheduler is None and tenure.has_majority:
-            self._gain(owner)
+            self._start_scheduler(owner)
         lost = owner.scheduler is not None and not tenure.has_majority
-        outranked = owner.scheduler is None and not self._is_candidate(owner)
-        if lost or outranked or tenure.must_yield(self.now_s):
+        superseded = owner.scheduler is None and not self._is_candidate(owner)
+        if lost or superseded or tenure.must_yield(self.now_s):
             owner.scheduler = None
             owner.outbox.clear()
             tenure.end()
@@ -202,7 +202,7 @@
         tenure = owner.tenure
         task_term_s = tenure.get_task_term(name, self.now_s)
         tenure.note_sent(name, self.now_s, task_term_s)
-        if name in self.dead or (owner.name, name) in self.cut:
+        if name in self.dead or (owner.name, name) in self.cut_links:
             tenure.note_silence(name)
             return
         request = LeaseRequest(
@@ -215,28 +215,28 @@
         tenure.note_reply(name, self.now_s, reply)
         if reply.granted and owner.scheduler is not None:
             effects = owner.scheduler.note_report(name, reply.tasks)
-            self._take_effects(owner, effects)
+            self._apply_effects(owner, effects)
 
-    def _gain(self, owner: Owner) -> None:
+    def _start_scheduler(self, owner: Owner) -> None:
         owner.scheduler = self.make_scheduler(HALL, self.policy)
         match_workers(owner.scheduler, owner.tenure, self.listed, self.now_s)
-        self._sync(owner, recovering=True)
+        self._sync_jobs(owner, recovering=True)
 
     def _schedule(self, owner: Owner) -> None:
         scheduler, tenure = owner.scheduler, owner.tenure
         match_workers(scheduler, tenure, self.listed, self.now_s)
-        self._sync(owner, recovering=False)
+        self._sync_jobs(owner, recovering=False)
         effects = recover_jobs(scheduler, tenure, not self.log_down, self.now_s)
-        self._take_effects(owner, effects)
-        self._take_effects(owner, scheduler.decide(self.now_s))
+        self._apply_effects(owner, effects)
+        self._apply_effects(owner, scheduler.decide(self.now_s))
 
-    def _sync(self, owner: Owner, recovering: bool) -> None:
+    def _sync_jobs(self, owner: Owner, recovering: bool) -> None:
         scheduler = owner.scheduler
         scheduler.set_customers(self.state.customers)
         for job_id, entry in self.state.jobs.items():
             if entry.state is JobState.ENDED:
                 if job_id in scheduler.jobs:
-                    self._take_effects(owner, scheduler.note_ended(job_id))
+                    self._apply_effects(owner, scheduler.note_ended(job_id))
                 continue
             if entry.hall != HALL:
                 continue
@@ -252,9 +252,9 @@
             if entry.state is JobState.PLACED:
                 scheduler.note_placed(job_id, entry.attempt, entry.workers)
             if entry.cancelled:
-                self._take_effects(owner, scheduler.cancel_job(job_id, self.now_s))
+                self._apply_effects(owner, scheduler.cancel_job(job_id, self.now_s))
 
-    def _take_effects(self, owner: Owner, effects) -> None:
+    def _apply_effects(self, owner: Owner, effects) -> None:
         for effect in effects:
             match effect:
                 case Send(worker, command):
@@ -262,16 +262,18 @@
                 case Append(record):
                     self._append(record)
 
-    def _send(self, owner: Owner) -> None:
+    def _send_outbox(self, owner: Owner) -> None:
         outbox, owner.outbox = owner.outbox, []
         for name, command in outbox:
-            done = self._send_one(owner, name, command)
+            done = self._send_command(owner, name, command)
             if owner.scheduler is not None:
                 owner.scheduler.note_command(command, done)
 
-    def _send_one(self, owner: Owner, name: str, command: TaskCommand) -> bool | None:
+    def _send_command(
+        self, owner: Owner, name: str, command: TaskCommand
+    ) -> bool | None:
         tenure = owner.tenure
-        unreachable = name in self.dead or (owner.name, name) in self.cut
+        unreachable = name in self.dead or (owner.name, name) in self.cut_links
         if name not in self.listed or unreachable:
             return None
         request = CommandRequest(owner.name, tenure.get_epoch(name), (command,))
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -28,7 +28,7 @@
 
 
 async def wait_in_force(cluster, names, revision):
-    """Return the seconds until every named instance has the revision."""
+    """Wait for the revision on every named instance; return the seconds it took."""
 
     async def is_in_force():
         for name in names:
@@ -41,7 +41,7 @@
 
 
 async def change(cluster, name, share, names):
-    """Put a change into force and return the seconds that it took everywhere."""
+    """Confirm a change; return the seconds until every named instance has it."""
     confirmed = await cluster.confirm_intent(name, make_intent(share))
     assert confirmed["code"] == Code.ACCEPTED
     return await wait_in_force(cluster, names, confirmed["revision"])
@@ -54,24 +54,24 @@
     taken = []
     async with watch(cluster) as watcher:
         taken.append(await change(cluster, names[0], 1, names))
-        # A hall that is cut off from the platform hears from its neighbours.
+        # A hall that is cut off from the platform gets changes from its peers.
         await cluster.cut_from_platform(*cluster.get_instances("hall-c"))
         evidence.faults["hall cut from the platform"] += 1
         taken.append(await change(cluster, names[0], 2, names))
-        # An instance of the cut hall is replaced by a fresh one.
+        # An instance of the cut hall is replaced by a new one.
         victim = cluster.get_instances("hall-c")[0]
         await cluster.kill(victim)
         await cluster.start_instance(victim)
         evidence.faults["instance replaced in a cut hall"] += 1
         await cluster.wait_ready(victim)
         await cluster.cut_from_platform()
-        # The reply to an append is lost; the change counts once.
+        # The reply to an append is lost; the change is applied only once.
         await cluster.set_platform_faults(lose_replies=2)
         evidence.faults["append reply lost"] += 2
         taken.append(await change(cluster, names[1], 3, names))
         status = (await cluster.get(names[0], "/v1/status")).json()
         assert status["revision"] == 3
-        # The platform goes away and comes back; every instance is replaced.
+        # Every instance of one hall is replaced while the platform is down.
         await cluster.set_platform_faults(down=True)
         evidence.faults["platform down"] += 1
         refused = await cluster.post(names[0], "/v1/plans", make_intent(9))
@@ -100,7 +100,7 @@
     names = list_instances(cluster)
     async with watch(cluster) as watcher:
         await change(cluster, names[0], 1, names)
-        # What the watcher has seen of the victim before it is replaced counts.
+        # The watcher must sample the victim's revision before it is replaced.
         await asyncio.sleep(0.5)
         await cluster.set_platform_faults(down=True)
         for process in cluster.processes.values():
@@ -179,7 +179,7 @@
     async with watch(cluster) as watcher:
         cluster.processes[last].thaw()
         await wait_in_force(cluster, [last], 7)
-        # A fresh instance has the snapshot and the tail alone.
+        # A new instance starts from the snapshot and the rest of the log alone.
         await cluster.kill(last)
         await cluster.start_instance(last)
         await cluster.wait_ready(last)
--- a/tests/promises/test_gangs_machine.py
+++ b/tests/promises/test_gangs_machine.py
@@ -1,4 +1,4 @@
-"""Promise 2 on the pure core: any interleaving of faults leaves gangs whole."""
+"""Promise 2 on the simulated hall: gangs run whole under any sequence of faults."""
 
 from unittest.mock import patch
 
@@ -49,7 +49,7 @@
 )
 
 
-def bring_about(machine, name, target, number):
+def inject_fault(machine, name, target, number):
     owners = machine.owners
     match name:
         case "kill worker":
@@ -67,13 +67,13 @@
         case "fail tasks":
             machine.workers[target].faults.fail_tasks ^= True
         case "cut":
-            machine.cut |= {(owner.name, target) for owner in owners}
+            machine.cut_links |= {(owner.name, target) for owner in owners}
         case "unlist worker":
             machine.unlist_worker(target)
         case "relist worker":
             machine.relist_worker(target)
         case "heal":
-            machine.cut.clear()
+            machine.cut_links.clear()
         case "freeze owner" if owners:
             owners[0].frozen = True
         case "thaw owners":
@@ -106,16 +106,16 @@
             )
         )
     for number, ((name, target), wait_s) in enumerate(plan):
-        bring_about(machine, name, target, number)
+        inject_fault(machine, name, target, number)
         if counts is not None:
             counts[name] += 1
         machine.run(wait_s)
     return machine
 
 
-def heal(machine):
+def clear_faults_and_run(machine):
     machine.log_down = False
-    machine.cut.clear()
+    machine.cut_links.clear()
     machine.lose_replies.clear()
     for name, worker in machine.workers.items():
         machine.revive_worker(name)
@@ -148,7 +148,7 @@
     phases=(Phase.explicit, Phase.generate, Phase.shrink),
 )
 @given(plan=plans)
-# The shortest plans that once failed, each for a fault of its own.
+# Regressions: minimal plans that failed before, each for a different fault.
 @example(plan=[(("kill worker", "w0"), 0.25)])
 @example(plan=[(("heal", ""), 0.25), (("kill worker", "w0"), 4.0)])
 @example(
@@ -162,7 +162,7 @@
 @example(plan=[(("revive worker", "w0"), 0.5), (("lose replies", "w1"), 4.0)])
 def test_gangs_run_whole_through_any_faults(evidence, plan):
     machine = run_plan(plan, evidence.faults)
-    heal(machine)
+    clear_faults_and_run(machine)
     violations = check(machine)
     evidence.operations += len(machine.get_events())
     evidence.violations += len(violations)
@@ -172,7 +172,7 @@
 
 
 def start_with_prepare(self, now_s):
-    """Ask each member to start right behind its prepare."""
+    """Send each member its start directly after its prepare."""
     self._enter(AttemptPhase.PREPARING, now_s)
     return [
         self._make_command(index, verb)
@@ -194,7 +194,7 @@
 def test_partial_gang_without_stopping_the_rest(evidence):
     with patch.object(Attempt, "_stop_for_failure", lambda *_: []):
         machine = run_plan([(("log up", ""), 1.5), (("kill worker", "w3"), 40.0)])
-        # The survivors run to their end in part, over the window where long.
+        # The remaining members run on alone; "long" does so for over WINDOW_S.
         machine.submit(JobSpec("long", "c", 3, 8, "rack", payload="run_s=60"))
         machine.run(2.0)
         machine.kill_worker("w1")
@@ -212,7 +212,7 @@
         machine.submit(JobSpec("j", "c", 2, 8, "rack", payload="run_s=30"))
         machine.run(3.0)
         job = machine.owners[0].scheduler.jobs["j"]
-        machine.cut.add(("owner", job.current.members[0].place.worker))
+        machine.cut_links.add(("owner", job.current.members[0].place.worker))
         machine.run(40.0)
     violations = check(machine)
     evidence.violations_without += len(violations)
--- a/tests/promises/test_gangs_processes.py
+++ b/tests/promises/test_gangs_processes.py
@@ -1,4 +1,4 @@
-"""Promise 2 on real processes: owners die and freeze, workers die, the log stops."""
+"""Promise 2 on real processes: owners die and freeze, workers die, the log fails."""
 
 import asyncio
 import time
@@ -17,8 +17,8 @@
     "worker_lost_s": 1.2,
     "gossip_s": 0.1,
 }
-# The longest time for which a part of a gang may run, and what a loaded machine
-# adds to it.
+# The longest time for which part of a gang may run (task term, loss detection,
+# lease term and two renewals), plus 2 s for delays on a loaded machine.
 WINDOW_S = 4.0 + 1.2 + 1.0 + 2 * 0.3 + 2.0
 SHAPE = {"halls": (HALL,), "instances": 3, "workers": 4, "runners": 0}
 
@@ -37,7 +37,7 @@
 
 
 async def submit(cluster, job):
-    """Submit a job through any instance until one takes it."""
+    """Submit a job to the running instances in turn until one accepts it."""
     while True:
         for name in cluster.get_instances(HALL):
             process = cluster.processes[name]
--- a/tests/promises/test_guarantees.py
+++ b/tests/promises/test_guarantees.py
@@ -1,4 +1,4 @@
-"""Promise 1: a claimed guaranteed shape is made available, however racks are filled."""
+"""Promise 1: a claimed guaranteed shape is made available, however full the racks."""
 
 from unittest.mock import patch
 
@@ -14,10 +14,10 @@
 
 WORKERS = 8
 TIMES = AttemptTimes()
-# Checkpoint, throttle and stop in their graces, then prepare and start, each a
-# few steps of the machine, and a renewal until the stop is seen.
-HONOUR_S = TIMES.checkpoint_grace_s + TIMES.throttle_grace_s + TERMS.renew_s
-HONOUR_S += 10 * STEP_S
+# The grace periods for checkpoint and throttle, one renewal until the stop is
+# reported, and a few steps each for stop, prepare and start.
+CLAIM_BOUND_S = TIMES.checkpoint_grace_s + TIMES.throttle_grace_s + TERMS.renew_s
+CLAIM_BOUND_S += 10 * STEP_S
 GUARANTEES = {"g1": (Cell(8, 1), Cell(1, 2)), "g2": (Cell(16, 1),), "g3": (Cell(4, 2),)}
 CLAIMS = (
     JobSpec("claim-8", "g1", 1, 8, "worker", guaranteed=True, payload="run_s=500"),
@@ -30,7 +30,10 @@
 
 
 def make_full_hall(fill, refuse_checkpoint=False):
-    """Return a hall whose racks are filled with borrowed work."""
+    """Return a hall whose racks are filled with work that holds no guarantee.
+
+    ``fill`` lists the members and the accelerators per member of each job.
+    """
     machine = HallMachine(WORKERS)
     for name, cells in GUARANTEES.items():
         guarantee = Guarantee(HALL, cells)
@@ -60,8 +63,8 @@
     return machine.state.jobs[job_id].state is JobState.PLACED
 
 
-def measure_honour(machine, claims, limit_s):
-    """Claim and return the seconds until all run, or None past the limit."""
+def measure_claims(machine, claims, limit_s):
+    """Submit claims; return the seconds until all run, or None past the limit."""
     for spec in claims:
         machine.submit(spec)
     began_s = machine.now_s
@@ -95,7 +98,7 @@
     groups = [order] if together else [[spec] for spec in order]
     evidence.faults["claims at once"] += together
     for group in groups:
-        taken_s = measure_honour(machine, group, HONOUR_S)
+        taken_s = measure_claims(machine, group, CLAIM_BOUND_S)
         evidence.operations += len(group)
         evidence.violations += taken_s is None
         assert taken_s is not None
@@ -110,7 +113,7 @@
 def test_claims_are_not_honoured_without_reclaim(evidence):
     with patch.object(HallScheduler, "_reclaim_for", lambda *_: []):
         machine = make_full_hall(FULL)
-        taken_s = measure_honour(machine, CLAIMS, HONOUR_S)
+        taken_s = measure_claims(machine, CLAIMS, CLAIM_BOUND_S)
     evidence.violations_without += taken_s is None
     assert taken_s is None
 
@@ -124,7 +127,7 @@
     machine.owners.clear()
     machine.add_owner("next")
     evidence.faults["owner dies in mid-reclaim"] += 1
-    limit_s = TERMS.term_s + TERMS.renew_s + HONOUR_S + 3.0
+    limit_s = TERMS.term_s + TERMS.renew_s + CLAIM_BOUND_S + 3.0
     began_s = machine.now_s
     while machine.now_s < began_s + limit_s:
         machine.step()
@@ -137,8 +140,8 @@
     machine = make_full_hall(FULL)
     machine.kill_worker("w3")
     evidence.faults["worker killed"] += 1
-    limit_s = HONOUR_S + TERMS.term_s + TERMS.task_term_s + 5.0
-    assert measure_honour(machine, CLAIMS, limit_s) is not None
+    limit_s = CLAIM_BOUND_S + TERMS.term_s + TERMS.task_term_s + 5.0
+    assert measure_claims(machine, CLAIMS, limit_s) is not None
     evidence.operations += len(CLAIMS)
 
 
@@ -151,10 +154,10 @@
     ]
     for spec in twice:
         machine.submit(spec)
-    machine.run(HONOUR_S)
+    machine.run(CLAIM_BOUND_S)
     assert sum(is_running(machine, spec.job_id) for spec in twice) == 1
     covered, reason = machine.owners[0].scheduler.check_guarantees()
     assert covered, reason
     others = [spec for spec in CLAIMS if spec.customer != "g2"]
-    assert measure_honour(machine, others, HONOUR_S) is not None
+    assert measure_claims(machine, others, CLAIM_BOUND_S) is not None
     evidence.operations += 2 + len(others)
--- a/tests/promises/test_membership.py
+++ b/tests/promises/test_membership.py
@@ -1,4 +1,4 @@
-"""Promises 6 and 7: a leaving upstream gets no new work, and nothing is cut off."""
+"""Promises 6 and 7: no new work for a leaving upstream; planned stops cut nothing."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 
 from larkhoist.codes import is_unknown
 from tests.promises.balancer import Balancer
-from tests.promises.callers import Callers, configure, judge
+from tests.promises.callers import Callers, check_history, configure
 
 HALL = "hall-a"
 SHAPE = {"halls": (HALL,), "instances": 3, "workers": 0, "runners": 4}
@@ -22,11 +22,14 @@
 
 
 async def leave_under_load(cluster, evidence, before_mark):
-    """Mark a runner under load; return the time from the mark to its last start."""
+    """Mark a runner as leaving under load.
+
+    Return the seconds from the mark to the last request that the runner started.
+    """
     await configure(cluster)
     names = cluster.get_instances(HALL)
     callers = Callers(cluster, seed=12)
-    running = asyncio.create_task(callers.run(names, 1500, loops=12, keyed=0.0))
+    running = asyncio.create_task(callers.run(names, 1500, loops=12, keyed_share=0.0))
     await asyncio.sleep(0.5)
     await before_mark(cluster)
     runner = cluster.get_runners(HALL)[0]
@@ -35,23 +38,23 @@
     evidence.faults["upstream leaving under load"] += 1
     await running
     while time.monotonic() < marked_s + BOUND_S + 1.0:
-        await callers.run(names, 100, loops=12, keyed=0.0)
+        await callers.run(names, 100, loops=12, keyed_share=0.0)
     evidence.operations += len(callers.calls)
-    assert await judge(callers) == []
+    assert await check_history(callers) == []
     return await find_last_start(cluster, runner) - marked_s
 
 
 async def do_nothing(cluster):
-    """Leave everything as it is."""
+    """Change nothing before the mark."""
 
 
 async def let_one_see_the_list(cluster):
-    """Cut every instance but the first off from the platform and its list."""
+    """Cut all instances but the first off from the platform and its list."""
     await cluster.cut_from_platform(*cluster.get_instances(HALL)[1:])
 
 
 async def start_one_afresh(cluster):
-    """Replace an instance, so that it starts during the leave."""
+    """Replace an instance, so that it starts while the upstream leaves."""
     name = cluster.get_instances(HALL)[-1]
     await cluster.kill(name)
     await cluster.start_instance(name)
@@ -81,8 +84,8 @@
     assert lasted_s > BOUND_S
 
 
-async def call_for_a_while(callers, balancer, seconds):
-    """Call through the balancer, with slow requests among the others."""
+async def call_through_balancer(callers, balancer, seconds):
+    """Call through the balancer from nine callers; three send slow requests."""
     end_s = time.monotonic() + seconds
 
     async def loop(slow):
@@ -95,7 +98,7 @@
 
 
 def find_cut_off(callers):
-    """Return the calls that got no answer, or one that leaves it open."""
+    """Return the calls without an answer or whose code leaves the outcome unknown."""
     return [c for c in callers.calls if c.code <= 0 or is_unknown(c.code)]
 
 
@@ -106,14 +109,14 @@
     callers = Callers(cluster, seed=13)
     names = cluster.get_instances(HALL)
     async with Balancer(cluster, names) as balancer:
-        running = asyncio.create_task(call_for_a_while(callers, balancer, 5.0))
+        running = asyncio.create_task(call_through_balancer(callers, balancer, 5.0))
         await asyncio.sleep(0.5)
         for runner in cluster.get_runners(HALL)[:2]:
             await cluster.mark_leaving(runner)
             evidence.faults["upstream stopped under load"] += 1
         await asyncio.sleep(3.0)
-        # The platform stops a runner once the bound has passed: new work must
-        # have ended, so from now on a request to it would be reset.
+        # The platform stops a runner after BOUND_S. No new request may reach it
+        # by then: from now on the runner resets every request.
         for runner in cluster.get_runners(HALL)[:2]:
             await cluster.set_runner_faults(runner, reset_before_run=10_000)
         await running
@@ -124,12 +127,12 @@
 
 
 async def replace_all(cluster, evidence):
-    """Replace every instance in turn under load."""
+    """Replace every instance in turn under load; return the calls cut off."""
     await configure(cluster)
     callers = Callers(cluster, seed=14)
     names = cluster.get_instances(HALL)
     async with Balancer(cluster, names) as balancer:
-        running = asyncio.create_task(call_for_a_while(callers, balancer, 10.0))
+        running = asyncio.create_task(call_through_balancer(callers, balancer, 10.0))
         await asyncio.sleep(0.5)
         for name in names:
             await cluster.stop(name)
@@ -138,7 +141,7 @@
             evidence.faults["entry stopped under load"] += 1
         await running
     evidence.operations += len(callers.calls)
-    assert await judge(callers) == []
+    assert await check_history(callers) == []
     return find_cut_off(callers)
 
 
--- a/tests/promises/test_requests.py
+++ b/tests/promises/test_requests.py
@@ -1,16 +1,16 @@
-"""Promises 3, 4 and 5: whole own answers, truthful 'not run', at most once."""
+"""Promises 3, 4 and 5: own and whole answers, correct 'not run', at most one run."""
 
 import asyncio
 
 import pytest
 
 from larkhoist.codes import Code
-from tests.promises.callers import Callers, FaultLoop, configure, judge
+from tests.promises.callers import Callers, FaultInjector, check_history, configure
 
 HALLS = ("hall-a", "hall-b")
 SHAPE = {"halls": HALLS, "instances": 2, "workers": 0, "runners": 2}
 RESETS = 20
-"""More than the tries of one call."""
+"""More than the attempts that one call makes."""
 FAST = {"timing": {"claim_wait_s": 1.5, "gossip_s": 0.1}}
 
 
@@ -24,29 +24,31 @@
 
 def make_runner_faults(cluster, random, *names):
     def make(fault):
-        async def bring_about():
+        async def inject_fault():
             runner = random.choice(list_runners(cluster))
             await cluster.set_runner_faults(runner, **{fault: 2})
 
-        return bring_about
+        return inject_fault
 
     return [(name, make(name)) for name in names]
 
 
-async def run_runner_faults(cluster, evidence, *faults, count=400, keyed=0.3):
+async def run_runner_faults(cluster, evidence, *faults, count=400, keyed_share=0.3):
     await configure(cluster)
     callers = Callers(cluster, seed=4)
-    loop = FaultLoop(
+    injector = FaultInjector(
         make_runner_faults(cluster, callers.random, *faults), evidence.faults, seed=5
     )
-    async with loop:
-        await callers.run(list_instances(cluster), count, loops=12, keyed=keyed)
+    async with injector:
+        await callers.run(
+            list_instances(cluster), count, loops=12, keyed_share=keyed_share
+        )
     evidence.operations += len(callers.calls)
-    return callers, await judge(callers)
+    return callers, await check_history(callers)
 
 
 async def call_over_resets(cluster, evidence):
-    """Return what a call broke whose every try ran and lost its connection."""
+    """Return the violations of a call whose every attempt ran and was then reset."""
     runners = list_runners(cluster)
     for runner in runners:
         await cluster.set_runner_faults(runner, reset_after_run=RESETS)
@@ -54,7 +56,7 @@
     callers = Callers(cluster, seed=4)
     await callers.call(list_instances(cluster)[0])
     evidence.operations += len(callers.calls)
-    return await judge(callers)
+    return await check_history(callers)
 
 
 @pytest.mark.promise(4)
@@ -75,7 +77,7 @@
         "tests.broken.no_send_account", **SHAPE, settings=FAST
     )
     _, violations = await run_runner_faults(cluster, evidence, "reset_after_run")
-    # Drawn faults may bring no two resets in a row about for any call.
+    # Random faults may not reset two attempts of one call in a row.
     violations += await call_over_resets(cluster, evidence)
     evidence.violations_without += len(violations)
     assert {violation.promise for violation in violations} >= {4}
@@ -89,9 +91,9 @@
     await configure(cluster)
     callers = Callers(cluster, seed=6)
     names = list_instances(cluster)
-    running = asyncio.create_task(callers.run(names, 300, loops=12, keyed=0.2))
+    running = asyncio.create_task(callers.run(names, 300, loops=12, keyed_share=0.2))
     await asyncio.sleep(0.2)
-    # Callers that leave are not in the history: they were told nothing.
+    # Callers that disconnect got no answer, so the history omits them.
     for name in names:
         leaving = asyncio.create_task(callers.call(name, work_ms=200))
         await asyncio.sleep(0.05)
@@ -106,7 +108,7 @@
             process.thaw()
     evidence.faults["upstream frozen"] += 2
     await running
-    violations = await judge(callers)
+    violations = await check_history(callers)
     evidence.operations += len(callers.calls)
     evidence.violations += len(violations)
     assert violations == []
@@ -122,7 +124,7 @@
 async def test_each_caller_gets_its_own_whole_answer(start_cluster, evidence):
     cluster = await start_cluster(**SHAPE, settings=FAST)
     callers, violations = await run_runner_faults(
-        cluster, evidence, "double", "truncate", "reset_after_run", keyed=0.0
+        cluster, evidence, "double", "truncate", "reset_after_run", keyed_share=0.0
     )
     evidence.violations += len(violations)
     assert violations == []
@@ -135,9 +137,9 @@
     await configure(cluster, echoes_request_id=True)
     callers = Callers(cluster, seed=4)
     faults = make_runner_faults(cluster, callers.random, "double", "truncate")
-    async with FaultLoop(faults, evidence.faults, seed=5):
-        await callers.run(list_instances(cluster), 400, loops=12, keyed=0.0)
-    violations = await judge(callers)
+    async with FaultInjector(faults, evidence.faults, seed=5):
+        await callers.run(list_instances(cluster), 400, loops=12, keyed_share=0.0)
+    violations = await check_history(callers)
     evidence.operations += len(callers.calls)
     evidence.violations += len(violations)
     assert violations == []
@@ -148,7 +150,9 @@
     cluster = await start_cluster(
         "tests.broken.no_answer_check", **SHAPE, settings=FAST
     )
-    _, violations = await run_runner_faults(cluster, evidence, "double", keyed=0.0)
+    _, violations = await run_runner_faults(
+        cluster, evidence, "double", keyed_share=0.0
+    )
     evidence.violations_without += len(violations)
     assert {violation.promise for violation in violations} == {3}
 
@@ -161,19 +165,19 @@
     await configure(cluster)
     callers = Callers(cluster, seed=8)
     names = list_instances(cluster)
-    running = asyncio.create_task(callers.run(names, 300, loops=12, keyed=0.3))
+    running = asyncio.create_task(callers.run(names, 300, loops=12, keyed_share=0.3))
     await asyncio.sleep(0.4)
     await cluster.kill(names[1])
     evidence.faults["entry killed"] += 1
     await running
-    violations = await judge(callers)
+    violations = await check_history(callers)
     evidence.operations += len(callers.calls)
     evidence.violations += len(violations)
     assert violations == []
 
 
 async def run_claim_faults(cluster, evidence):
-    """Race and resubmit keys while replies get lost, the log stops, entries die."""
+    """Race and resubmit keys while replies are lost, the log fails and entries die."""
     await configure(cluster)
     callers = Callers(cluster, seed=9)
     names = list_instances(cluster)
@@ -207,15 +211,17 @@
             cluster, callers.random, "reset_after_run", "reset_before_run", "refuse"
         ),
     ]
-    async with FaultLoop(faults, evidence.faults, seed=10):
-        running = asyncio.create_task(callers.run(names, 250, loops=12, keyed=1.0))
+    async with FaultInjector(faults, evidence.faults, seed=10):
+        running = asyncio.create_task(
+            callers.run(names, 250, loops=12, keyed_share=1.0)
+        )
         for number in range(15):
             await callers.race(names, f"race-{number}")
         await cluster.kill(names[-1])
         evidence.faults["entry killed"] += 1
         await running
     evidence.operations += len(callers.calls)
-    return callers, await judge(callers)
+    return callers, await check_history(callers)
 
 
 @pytest.mark.promise(5)
@@ -249,14 +255,14 @@
     assert first.code == again.code == Code.CLAIM_UNAVAILABLE
     assert repeatable.code == Code.ANSWERED
     await cluster.set_platform_faults(down=False)
-    # The claim that was under way comes onto the log and is released behind it;
-    # until then the key is held, by a body that differs in its marker.
+    # The pending claim is appended to the log and then released. Until then the
+    # key is held for a body with another marker, hence KEY_REUSED.
     later = Code.CLAIM_UNAVAILABLE
     while later in (Code.CLAIM_UNAVAILABLE, Code.KEY_REUSED):
         later = (await callers.call(name, "bill-1")).code
     assert later == Code.ANSWERED
     evidence.operations += len(callers.calls)
-    assert await judge(callers) == []
+    assert await check_history(callers) == []
 
 
 async def test_requests_beyond_the_bound_are_refused_at_once(start_cluster):
@@ -272,4 +278,4 @@
     codes = [record.code for record in await asyncio.gather(*calls)]
     assert codes.count(Code.ANSWERED) == 4
     assert codes.count(Code.QUEUE_FULL) == 8
-    assert await judge(callers) == []
+    assert await check_history(callers) == []
--- a/tests/promises/test_take_over.py
+++ b/tests/promises/test_take_over.py
@@ -1,10 +1,9 @@
-"""Promise 2 on the pure core while one owner follows another.
+"""Promise 2 on the simulated hall while a second owner takes over.
 
-The first owner goes while a gang runs on the later half of the workers, and the earlier
-half is free. The second owner gets the leases in one round, with a report of each
-worker. It dropped the reports that came before it had a scheduler and took the gang as
-gone, since nobody had reported it: it placed a second attempt on the free half while
-the first one ran, or ended the job as lost.
+Guards against an owner that drops the worker reports received before its scheduler
+exists. It gets all leases and reports in one round, so it treated a running gang as
+lost: it placed a second attempt on the free half of the workers while the first one
+ran, or ended the job as lost.
 """
 
 import pytest
@@ -34,7 +33,7 @@
     machine.put_customer(CustomerSpec("ann"))
     machine.add_owner("first")
     machine.run(3)
-    # What ends soon leaves the earlier half of the workers free.
+    # The filler ends early and leaves the first half of the workers free.
     machine.submit(make_gang("filler", 5, repeatable))
     machine.run(2)
     machine.submit(make_gang("job", 60, repeatable))
--- a/tests/promises/test_watcher.py
+++ b/tests/promises/test_watcher.py
@@ -10,7 +10,7 @@
 
 
 class HalfFrozenCluster:
-    """Answer for one instance alone; the other one froze with a call under way."""
+    """Cluster where one instance answers and the other froze during a call."""
 
     def __init__(self):
         process = SimpleNamespace(handle=SimpleNamespace(returncode=None), frozen=False)
--- a/tests/promises/watcher.py
+++ b/tests/promises/watcher.py
@@ -14,10 +14,10 @@
 
 
 class Watcher(Background):
-    """Sample every instance at its own pace.
+    """Background task that samples every instance independently.
 
-    An instance that is frozen while a sample is under way answers late or never;
-    the others are sampled on.
+    An instance that freezes during a sample may never answer; this does not delay
+    the samples of the others.
     """
 
     def __init__(self, cluster, names):
