--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Prove the decisions on the pure core and the promises on real processes."""
+"""Test decisions in isolation, and the promises on clusters of real processes."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Share clusters, gather the evidence for the promises, pass over known failures."""
+"""Provide cluster fixtures, report checks by promise, deselect known failures."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,12 +8,15 @@
 from demo.cluster import ClusterShape, create_cluster
 from tests.known_failures import find_unmatched, is_listed, read_known_failures
 
-QUICK_STOP = {"drain_notice_s": 0.05}
+SHORT_DRAIN_NOTICE = {"drain_notice_s": 0.05}
 
 
 @dataclass
 class Evidence:
-    """Hold what was checked for one promise."""
+    """Counts of the operations, faults and violations seen while testing a promise.
+
+    ``violations_without`` counts violations with the tested mechanism switched off.
+    """
 
     faults: Counter = field(default_factory=Counter)
     operations: int = 0
@@ -27,19 +30,19 @@
 
 @pytest.fixture
 def evidence(request):
-    """Return the evidence of the promise that the test is marked with."""
+    """Return the evidence for the promise in the test's ``promise`` marker."""
     number = request.node.get_closest_marker("promise").args[0]
     return _evidence.setdefault(number, Evidence())
 
 
 @pytest.fixture
 async def start_cluster():
-    """Return a function that starts a cluster; all are closed after the test."""
+    """Return a function that starts a cluster; closes all clusters after the test."""
     clusters = []
 
     async def start(daemon="larkhoist.daemon.main", settings=None, **shape):
         settings = dict(settings or {})
-        settings["timing"] = QUICK_STOP | settings.get("timing", {})
+        settings["timing"] = SHORT_DRAIN_NOTICE | settings.get("timing", {})
         cluster = create_cluster(ClusterShape(**shape, settings=settings), daemon)
         clusters.append(cluster)
         await cluster.start()
@@ -51,24 +54,32 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """Deselect listed tests; a listed test that doesn't exist is an error."""
+    """Deselect known failures.
+
+    Raises ``pytest.UsageError`` if a listed test does not exist. Tests named one by one
+    on the command line run even if they are listed, and without this check.
+    """
     failures = read_known_failures()
     names = [item.nodeid for item in items]
-    missing = [one for one in failures if one.file and not _has_file(config, one.file)]
+    missing = [
+        failure
+        for failure in failures
+        if failure.file and not _has_file(config, failure.file)
+    ]
     unmatched = missing or find_unmatched(names, failures)
-    if unmatched and not _chooses_single_tests(config):
-        listed = ", ".join(one.name for one in unmatched)
+    if unmatched and not _selects_single_tests(config):
+        listed = ", ".join(failure.name for failure in unmatched)
         raise pytest.UsageError(f"KNOWN-RED.txt lists tests that don't exist: {listed}")
     listed = [item for item in items if is_listed(item.nodeid, failures)]
-    if listed and not _chooses_single_tests(config):
+    if listed and not _selects_single_tests(config):
         items[:] = [item for item in items if item not in listed]
         config.hook.pytest_deselected(items=listed)
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the known failures, and a line of evidence for each promise."""
-    for one in read_known_failures():
-        terminalreporter.write_line(f"known failure: {one.text}")
+    """Print the known failures and the evidence for each promise."""
+    for failure in read_known_failures():
+        terminalreporter.write_line(f"known failure: {failure.text}")
     if not _evidence:
         return
     terminalreporter.section("promises")
@@ -88,6 +99,6 @@
     return (config.rootpath / file).exists()
 
 
-def _chooses_single_tests(config) -> bool:
-    """Tell whether tests are named one by one: these run, listed or not."""
+def _selects_single_tests(config) -> bool:
+    """Return whether the command line names single tests by id."""
     return any("::" in argument for argument in config.args)
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""Check that the list of known failures leaves out exactly the tests it names."""
+"""Check the parsing of KNOWN-RED.txt and the matching of its entries to tests."""
 
 from tests.known_failures import (
     KnownFailure,
@@ -39,6 +39,6 @@
 
 
 def test_every_entry_of_the_list_has_a_command_and_an_issue():
-    for one in read_known_failures():
-        assert one.text.count("|") >= 2
-        assert one.text.rpartition("|")[2].strip().isdigit()
+    for failure in read_known_failures():
+        assert failure.text.count("|") >= 2
+        assert failure.text.rpartition("|")[2].strip().isdigit()
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -1,4 +1,4 @@
-"""Check the order in which instances try for a hall."""
+"""Check the order in which instances are preferred as owner of a data hall."""
 
 from larkhoist.ownership.order import order_instances
 
@@ -10,6 +10,6 @@
 
 def test_losing_one_instance_keeps_the_others_in_order():
     names = [f"entry-{n}" for n in range(8)]
-    whole = order_instances("hall", names)
-    without = order_instances("hall", [n for n in names if n != whole[0]])
-    assert without == whole[1:]
+    full_order = order_instances("hall", names)
+    remaining_order = order_instances("hall", [n for n in names if n != full_order[0]])
+    assert remaining_order == full_order[1:]
