--- a/src/larkhoist/fleet/scheduler.py
+++ b/src/larkhoist/fleet/scheduler.py
@@ -397,7 +397,7 @@
             self.state.note("worker-listed-again", worker=worker.name)
 
     def _stop_checkpointing_tasks(self, worker: FleetWorker, now_s: float) -> None:
-        """Stop checkpointing tasks that would not finish before the worker leaves."""
+        """Stop tasks with checkpoints that would not end before the worker leaves."""
         left_s = (worker.leaves_s or now_s) - now_s
         for phase, task in self.state.list_tasks_on(worker):
             job = self.state.jobs[phase.id.job_id].job
