--- a/lab/replay.py
+++ b/lab/replay.py
@@ -170,7 +170,7 @@
             self._listed[name] = ListedTaskWorker(
                 name, SERVICE, name, "hall", rack, labels, plan.room, False, None, 0
             )
-        self._scheduler.take_list(self._listed.values(), 0.0)
+        self._scheduler.update_workers(self._listed.values(), 0.0)
         for name in list(self._scheduler.state.workers):
             self._scheduler.note_heard(name, 0.0)
         total = plan.workers * plan.room.accelerators * plan.guaranteed
@@ -232,12 +232,12 @@
 
     def _start(self, order: StartTask, now_s: float) -> None:
         if self._workers.is_dead(order.worker):
-            self._scheduler.take_start_answer(
+            self._scheduler.handle_start_answer(
                 order.task, order.attempt, Code.WORKER_SILENT, True, now_s
             )
             return
         if not self._workers.start(order, now_s):
-            self._scheduler.take_start_answer(
+            self._scheduler.handle_start_answer(
                 order.task, order.attempt, Code.ATTEMPT_TOO_OLD, False, now_s
             )
             return
@@ -249,7 +249,7 @@
         place, _, life = worker.partition(".")
         name = f"{place}.{int(life or 0) + 1}"
         self._listed[name] = dataclasses.replace(former, name=name)
-        self._scheduler.take_list(self._listed.values(), now_s)
+        self._scheduler.update_workers(self._listed.values(), now_s)
         self._scheduler.note_replaced(worker, now_s)
         self._scheduler.note_heard(name, now_s)
 
@@ -261,19 +261,21 @@
         self._listed[worker] = dataclasses.replace(
             self._listed[worker], leaving=True, remaining_s=exit_delay_s
         )
-        self._scheduler.take_list(self._listed.values(), now_s)
+        self._scheduler.update_workers(self._listed.values(), now_s)
         self._events.add(now_s + exit_delay_s, _DepartureEnded(worker))
 
     def _end_departure(self, worker: str, now_s: float) -> None:
         self._workers.end_worker(worker, now_s)
         self._final_lease_end_s[worker] = now_s + FINAL_LEASE_S
         self._listed.pop(worker, None)
-        self._scheduler.take_list(self._listed.values(), now_s)
+        self._scheduler.update_workers(self._listed.values(), now_s)
         self._scheduler.note_silent(worker, now_s)
 
     def _note_begun(self, order: StartTask, now_s: float) -> None:
         self._began_s.setdefault(order.task.partition(".")[0], now_s)
-        self._scheduler.take_start_answer(order.task, order.attempt, None, False, now_s)
+        self._scheduler.handle_start_answer(
+            order.task, order.attempt, None, False, now_s
+        )
 
     def _note_end(self, worker: str, ended: EndedTask, now_s: float) -> None:
         self._watch.note_end(ended)
@@ -295,7 +297,7 @@
         self._renew_leases(now_s)
         for end in self._inbox:
             report = WorkerReport(now_ms, (), (end.ended,), whole=False)
-            self._scheduler.take_report(end.worker, report, now_s, now_s, now_ms)
+            self._scheduler.handle_report(end.worker, report, now_s, now_s, now_ms)
         self._inbox = []
         decided = self._scheduler.decide(now_s, now_ms)
         self._decision_times_s.append(time.perf_counter() - began_s)
--- a/measure/claims.py
+++ b/measure/claims.py
@@ -42,7 +42,7 @@
     """
     rng = random.Random(SEED)
     scheduler = create_fleet_scheduler(FleetPolicy(), 0.0)
-    scheduler.take_list([_make_worker(number) for number in range(workers)], 0.0)
+    scheduler.update_workers([_make_worker(number) for number in range(workers)], 0.0)
     for name in list(scheduler.state.workers):
         scheduler.note_heard(name, 0.0)
     scheduler.set_guarantees({"ann": workers * 8})
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -32,7 +32,7 @@
 def _measure(workers: int, waiting: int) -> float:
     rng = random.Random(1)
     scheduler = create_fleet_scheduler(FleetPolicy(), 0.0)
-    scheduler.take_list([_make_worker(n) for n in range(workers)], 0.0)
+    scheduler.update_workers([_make_worker(n) for n in range(workers)], 0.0)
     for name in list(scheduler.state.workers):
         scheduler.note_heard(name, 0.0)
     scheduler.set_guarantees({"ann": workers * 4})
--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -40,7 +40,7 @@
 from larkhoist.fleet.scheduler import FleetScheduler, create_fleet_scheduler
 from larkhoist.fleet.silent_leases import LeaseNote
 from larkhoist.fleet.task import TaskState
-from larkhoist.fleet.wait_notes import STANDS_S
+from larkhoist.fleet.wait_notes import STALL_INTERVAL_S
 from larkhoist.jobs.book import JobBook
 from larkhoist.jobs.records import (
     JOB_STREAM,
@@ -226,7 +226,7 @@
         """Return the gauges of job steps whose tasks have waited long for a start."""
         now_s, _ = _get_times()
         unserved_s = self.scheduler.list_unserved_s(now_s)
-        long_unserved = sum(wait_s >= STANDS_S for wait_s in unserved_s)
+        long_unserved = sum(wait_s >= STALL_INTERVAL_S for wait_s in unserved_s)
         return {
             "fleet_unserved_steps": float(long_unserved),
             "fleet_longest_unserved_s": max(unserved_s, default=0.0),
@@ -308,9 +308,9 @@
         await self._roster_follower.start()
         now_s, now_ms = _get_times()
         scheduler = create_fleet_scheduler(self._policy, now_s)
-        scheduler.take_list(self._roster.list_entries(), now_s)
+        scheduler.update_workers(self._roster.list_entries(), now_s)
         left_over = self._book.take_progress(progress)
-        scheduler.take_book(self._book, now_s, now_ms)
+        scheduler.load_jobs(self._book, now_s, now_ms)
         self.scheduler = scheduler
         log_event(
             _logger,
@@ -366,7 +366,7 @@
         scheduler = self.scheduler
         if self._roster_version != self._roster.version:
             self._roster_version = self._roster.version
-            scheduler.take_list(self._roster.list_entries(), now_s)
+            scheduler.update_workers(self._roster.list_entries(), now_s)
             self._sync_sessions()
         messages, self._messages = self._messages, []
         for message in messages:
@@ -481,19 +481,21 @@
         match message:
             case ReportAnswer(worker, asked_s, Success(report)):
                 scheduler.note_heard(worker, asked_s)
-                scheduler.take_report(worker, report, asked_s, now_s, now_ms)
+                scheduler.handle_report(worker, report, asked_s, now_s, now_ms)
             case ReportAnswer(worker, _, Failure(problem)):
                 if problem.code is Code.ORDER_REFUSED:
                     scheduler.note_refused(worker)
                 self._handle_failed_call(worker, problem.code, now_s)
             case StartDropped(_, task, attempt):
                 scheduler.note_never_sent(task, attempt, now_s)
-            case StartAnswer(worker, task, attempt, code, may_act, detail):
-                scheduler.take_start_answer(task, attempt, code, may_act, now_s, detail)
+            case StartAnswer(worker, task, attempt, code, may_have_started, detail):
+                scheduler.handle_start_answer(
+                    task, attempt, code, may_have_started, now_s, detail
+                )
                 if code is not None:
                     self._handle_failed_call(worker, code, now_s)
             case StopAnswer(worker, task, attempt, None):
-                scheduler.take_stop_answer(task, attempt, now_s)
+                scheduler.handle_stop_answer(task, attempt, now_s)
             case StopAnswer(worker, _, _, code):
                 self._handle_failed_call(worker, code, now_s)
 
--- a/src/larkhoist/control/scheduler_node.py
+++ b/src/larkhoist/control/scheduler_node.py
@@ -246,7 +246,7 @@
     async def _start_owner(self, term: int) -> None:
         policy = FleetPolicy(
             lease_s=self._settings.lease_s,
-            predecessor_s=self._tenure_times.predecessor_s,
+            cut_off_renewal_s=self._tenure_times.cut_off_renewal_s,
             stop_s=self._settings.stop_s,
             restore_s=self._settings.restore_s,
         )
--- a/src/larkhoist/control/tenure_keeper.py
+++ b/src/larkhoist/control/tenure_keeper.py
@@ -160,7 +160,9 @@
 
     def may_renew_leases(self, now_s: float) -> bool:
         """Tell whether the last renewal is recent enough to renew workers' leases."""
-        return self.term > 0 and now_s - self.confirmed_s < self._times.predecessor_s
+        return (
+            self.term > 0 and now_s - self.confirmed_s < self._times.cut_off_renewal_s
+        )
 
     async def _run(self) -> None:
         await self._watch()
--- a/src/larkhoist/control/worker_session.py
+++ b/src/larkhoist/control/worker_session.py
@@ -48,15 +48,16 @@
 class StartAnswer:
     """The result of a start order; ``code`` is None if the task has started.
 
-    ``may_act`` tells that a try got no answer: it may have started the task or may
-    still start it, whatever the last answer says. ``detail`` is from the last answer.
+    ``may_have_started`` tells that a try got no answer: it may have started the task
+    or may still start it, whatever the last answer says. ``detail`` is from the last
+    answer.
     """
 
     worker: str
     task: str
     attempt: int
     code: Code | None
-    may_act: bool = False
+    may_have_started: bool = False
     detail: str = ""
 
 
@@ -414,7 +415,7 @@
             self._send_message(StartDropped(self._name, order.task, order.attempt))
             return
         result = await self._try_start(call)
-        may_act = _may_have_acted(result)
+        may_have_started = _may_have_acted(result)
         for _ in range(self._times.start_tries - 1):
             if not _is_unanswered(result):
                 break
@@ -423,20 +424,22 @@
             if call is None:
                 break
             result = await self._try_start(call)
-            may_act = may_act or _may_have_acted(result)
+            may_have_started = may_have_started or _may_have_acted(result)
         if _is_unanswered(result):
             self._handle_unanswered_call()
-        self._send_message(self._make_start_answer(order, result, may_act))
+        self._send_message(self._make_start_answer(order, result, may_have_started))
 
     def _make_start_answer(
-        self, order: StartTask, result: Result[int, Problem], may_act: bool
+        self, order: StartTask, result: Result[int, Problem], may_have_started: bool
     ) -> StartAnswer:
         match result:
             case Failure(problem):
                 code, detail = problem.code, problem.detail
             case _:
                 code, detail = None, ""
-        return StartAnswer(self._name, order.task, order.attempt, code, may_act, detail)
+        return StartAnswer(
+            self._name, order.task, order.attempt, code, may_have_started, detail
+        )
 
     async def _request_clock(self) -> None:
         """Request a report for its clock; concurrent starts share one request."""
--- a/src/larkhoist/daemon/hall_owner.py
+++ b/src/larkhoist/daemon/hall_owner.py
@@ -126,7 +126,7 @@
             return 0.0
         return get_fragmentation(self.scheduler.accelerators.free, EXPECTED_MIX)
 
-    def take_list(self, listed: InstanceList) -> None:
+    def set_instances(self, listed: InstanceList) -> None:
         """Replace the hall's workers and upstreams by those in the list."""
         in_hall = [i for i in listed.instances if i.hall == self._hall]
         self._workers = {
--- a/src/larkhoist/daemon/instance.py
+++ b/src/larkhoist/daemon/instance.py
@@ -274,8 +274,8 @@
                 if i.kind == "entry" and i.name != self._settings.instance
             }
         )
-        self._slots.take_list(listed, asyncio.get_running_loop().time())
-        self._owner.take_list(listed)
+        self._slots.set_instances(listed, asyncio.get_running_loop().time())
+        self._owner.set_instances(listed)
 
     async def _update_readiness_and_loads(self) -> None:
         while True:
--- a/src/larkhoist/daemon/slot_table.py
+++ b/src/larkhoist/daemon/slot_table.py
@@ -28,7 +28,7 @@
 
     # Membership and load.
 
-    def take_list(self, listed: InstanceList, now_s: float) -> None:
+    def set_instances(self, listed: InstanceList, now_s: float) -> None:
         """Replace the upstreams by those of this hall in the list."""
         in_hall = {
             i.name: i
--- a/src/larkhoist/fleet/crashes.py
+++ b/src/larkhoist/fleet/crashes.py
@@ -37,7 +37,7 @@
 There must be fewer than three."""
 LATE_START_MIN_CRASHES = 2
 """A task with fewer crashes isn't given up for the number of its late starts."""
-MOST_LOST = 5
+MAX_LOST_WORKERS = 5
 """A task is given up after this many lost workers, whether crashed or cut off. It is
 less likely that a task meets five cut-off workers than that its workers crash and come
 back only after the end of their lease, so that the crashes may never be known."""
@@ -141,7 +141,10 @@
     lost = task.lost
     if lost.blamed >= MAX_BLAMED_CRASHES:
         return True
-    if lost.count >= MOST_LOST and lost.count - lost.unseen >= MIN_CONFIRMED_LOST:
+    if (
+        lost.count >= MAX_LOST_WORKERS
+        and lost.count - lost.unseen >= MIN_CONFIRMED_LOST
+    ):
         return True
     is_waiting = task.state is TaskState.WAITING
     has_used_late_starts = lost.late_starts >= MAX_LATE_STARTS
--- a/src/larkhoist/fleet/doubts.py
+++ b/src/larkhoist/fleet/doubts.py
@@ -37,7 +37,7 @@
         self._doubtful_since_s[hall] = asked_s
         return True
 
-    def covers(self, hall: str, heard_s: float) -> bool:
+    def is_in_doubt(self, hall: str, heard_s: float) -> bool:
         """Tell whether a worker's last answer is older than the doubt about its hall.
 
         ``heard_s`` is when the last call that it answered was made.
--- a/src/larkhoist/fleet/eligibility.py
+++ b/src/larkhoist/fleet/eligibility.py
@@ -6,9 +6,9 @@
     get_failure_free_s,
     make_leeway,
 )
-from larkhoist.fleet.placing import WorkerGroups, count_capacity, list_eligible
 from larkhoist.fleet.ranking import Tier
 from larkhoist.fleet.room import ServiceRoom, count_service_rooms
+from larkhoist.fleet.room_search import WorkerGroups, count_capacity, list_eligible
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import ActiveJob, Phase
 from larkhoist.fleet.worker import FleetWorker
--- a/src/larkhoist/fleet/exclusion.py
+++ b/src/larkhoist/fleet/exclusion.py
@@ -34,7 +34,7 @@
         (worker.heard_s == float("-inf"), Exclusion.UNHEARD),
         (state.is_cordoned(worker), Exclusion.CORDONED),
         (state.quarantine.holds(worker.name, now_s), Exclusion.QUARANTINED),
-        (state.doubts.covers(worker.hall, worker.heard_s), Exclusion.IN_DOUBT),
+        (state.doubts.is_in_doubt(worker.hall, worker.heard_s), Exclusion.IN_DOUBT),
         (now_s < worker.paused_until_s, Exclusion.PAUSED),
     )
     return next((reason for applies, reason in checks if applies), None)
--- a/src/larkhoist/fleet/placement.py
+++ b/src/larkhoist/fleet/placement.py
@@ -6,7 +6,6 @@
 
 from larkhoist.fleet.eligibility import Eligibility
 from larkhoist.fleet.leeway import Leeway, count_together
-from larkhoist.fleet.placing import WorkerGroups, find_places
 from larkhoist.fleet.ranking import Rank, Tier, rank_phase
 from larkhoist.fleet.room import (
     count_room_without_checkpoints,
@@ -14,6 +13,7 @@
     get_used_share,
 )
 from larkhoist.fleet.room_maker import RoomMaker
+from larkhoist.fleet.room_search import WorkerGroups, find_places
 from larkhoist.fleet.shapes import SearchScope, Shape, make_shape
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import ActiveJob, Phase
@@ -26,7 +26,7 @@
 SPEED_CLASS_LOG_WIDTH = math.log(1.2)
 """Width of a speed class, as the logarithm of a ratio of run times: workers that differ
 by less than about 20 % count as equally fast."""
-CLAIMS_PER_PASS = 4
+VICTIM_SEARCHES_PER_PASS = 4
 """How many phases may search for victims in one pass; the others search in the next
 pass, which follows at once.
 
@@ -61,7 +61,7 @@
         self.state = state
         self.now_s = now_s
         self.room_maker = RoomMaker(state, now_s)
-        self.searches_left = CLAIMS_PER_PASS
+        self.searches_left = VICTIM_SEARCHES_PER_PASS
         self.unfinished = False
         self.failed: set[Shape] = set()
         self.eligible = Eligibility(state, now_s)
@@ -142,14 +142,14 @@
         self, rank: Rank, active: ActiveJob, phase: Phase, groups
     ) -> None:
         """Search for victims, unless this phase or pass has to postpone the search."""
-        if self.now_s < phase.claim_again_s:
+        if self.now_s < phase.next_victim_search_s:
             return
         if not self.searches_left:
             self.unfinished = True
             return
         self.searches_left -= 1
         if not self.room_maker.make_room(active, phase, groups, rank.order):
-            phase.claim_again_s = self.now_s + VICTIM_SEARCH_PAUSE_S
+            phase.next_victim_search_s = self.now_s + VICTIM_SEARCH_PAUSE_S
 
     def _start_apart(
         self, tier, leeway, active, phase
@@ -298,14 +298,14 @@
         served (standard error 0.008).
         """
         plan = dict(phase.plan)
-        self.state.drop_plan(phase)
+        self.state.release_plan(phase)
         groups = self.eligible.get_groups(tier, leeway, active, phase)
         search = (groups, tier, phase, len(plan))
         places = self._find_places(*search, anywhere=leeway.any_rack)
         if len(places) == len(plan):
             self._assign(active, phase, places)
         else:
-            self.state.keep_plan(phase, plan)
+            self.state.hold_plan(phase, plan)
 
     def _find_places(
         self, groups: WorkerGroups, tier: Tier, phase: Phase, count: int, *, anywhere
--- a/src/larkhoist/fleet/policy.py
+++ b/src/larkhoist/fleet/policy.py
@@ -14,12 +14,12 @@
     Times are in seconds. ``lease_s``, ``stop_s`` and ``restore_s`` are set from the
     settings of the platform.
 
-    ``lease_s`` is the longest lease of a worker. ``predecessor_s`` is how long an owner
-    that has lost contact with the log may go on renewing leases. ``stop_s`` is how long
-    a worker may take to stop a task.
+    ``lease_s`` is the longest lease of a worker. ``cut_off_renewal_s`` is how long an
+    owner that has lost contact with the log may go on renewing leases. ``stop_s`` is
+    how long a worker may take to stop a task.
 
     ``departing_lease_s`` is the lease of a worker that is leaving, or that has been off
-    the list of workers for ``unlisted_patience_s``. An entry that expired because the
+    the list of workers for ``unlisted_grace_s``. An entry that expired because the
     process that keeps the list was down is back within 2 s. Only the end of its lease
     proves that such a worker has ended, so a short lease lets its tasks restart
     elsewhere sooner. The lease is longer than the 1.3 s from an unanswered call to the
@@ -53,10 +53,10 @@
     """
 
     lease_s: float = 10.0
-    predecessor_s: float = 8.0
+    cut_off_renewal_s: float = 8.0
     lease_slack_s: float = 0.3
     departing_lease_s: float = 2.0
-    unlisted_patience_s: float = 2.5
+    unlisted_grace_s: float = 2.5
     resend_stop_s: float = 0.7
     refused_pause_s: float = 0.5
     longest_refused_pause_s: float = 4.0
--- a/src/larkhoist/fleet/preemption.py
+++ b/src/larkhoist/fleet/preemption.py
@@ -10,9 +10,14 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush, heapreplace
 
-from larkhoist.fleet.placing import WorkerGroup
+from larkhoist.fleet.room_search import WorkerGroup
 from larkhoist.fleet.state import FleetState
-from larkhoist.fleet.stop_costs import LocalVictim, Slot, list_slots, make_local
+from larkhoist.fleet.stop_costs import (
+    Slot,
+    WorkerVictim,
+    list_slots,
+    make_worker_victim,
+)
 from larkhoist.fleet.task import ActiveJob
 from larkhoist.fleet.victim import Victim, iter_victims
 from larkhoist.fleet.worker import FleetWorker
@@ -138,7 +143,7 @@
     def __init__(
         self, state: FleetState, now_s: float, preempting_job: ActiveJob | None = None
     ):
-        self._by_worker: dict[str, list[LocalVictim]] = defaultdict(list)
+        self._by_worker: dict[str, list[WorkerVictim]] = defaultdict(list)
         self._curves: dict[tuple[Resources, Preemptor], dict[str, _CostCurve]] = (
             defaultdict(dict)
         )
@@ -146,7 +151,7 @@
         self._prices: dict[Preemptor, dict[str, tuple[float, int]]] = defaultdict(dict)
         for victim in iter_victims(state, now_s, preempting_job):
             for name in victim.workers:
-                self._by_worker[name].append(make_local(victim, name))
+                self._by_worker[name].append(make_worker_victim(victim, name))
 
     def find_room(
         self,
@@ -219,7 +224,7 @@
             room += price[1] + worker.free.accelerators
         return cost, room
 
-    def _list_victims(self, name: str, preemptor: Preemptor) -> list[LocalVictim]:
+    def _list_victims(self, name: str, preemptor: Preemptor) -> list[WorkerVictim]:
         victims = self._by_worker.get(name, ())
         return [one for one in victims if preemptor.may_stop(one.victim)]
 
--- a/src/larkhoist/fleet/reports.py
+++ b/src/larkhoist/fleet/reports.py
@@ -20,17 +20,17 @@
 from larkhoist.ports.task_worker import EndedTask, EndKind, RunningTask, WorkerReport
 
 __all__ = [
-    "take_report",
-    "take_start_answer",
-    "take_stop_answer",
-    "take_worker_gone",
+    "handle_report",
+    "handle_start_answer",
+    "handle_stop_answer",
+    "handle_worker_gone",
 ]
 
 MIN_PEERS = 3
 """How many tasks of a step must be done before another is compared with their mean."""
 
 
-def take_report(
+def handle_report(
     state: FleetState,
     worker: FleetWorker,
     report: WorkerReport,
@@ -78,19 +78,19 @@
     release_lost_tasks(state, worker, lost, now_s)
 
 
-def take_start_answer(
+def handle_start_answer(
     state: FleetState,
     name: str,
     attempt: int,
     code: Code | None,
-    may_act: bool,
+    may_have_started: bool,
     now_s: float,
     detail: str = "",
 ) -> None:
     """Process the answer to a start order; a code of None means that it succeeded.
 
     A refusal proves that the attempt doesn't run only if no earlier try of the order
-    may still start it (``may_act``).
+    may still start it (``may_have_started``).
     """
     found = state.find_task(name, attempt)
     if found is None:
@@ -108,14 +108,14 @@
         case Code.WORKER_SILENT if task.state is TaskState.RUNNING:
             # A report has already shown that it runs.
             return
-        case Code.WORKER_UNREACHABLE if not may_act:
+        case Code.WORKER_UNREACHABLE if not may_have_started:
             state.release(phase, task, NeverSent(), now_s)
         case Code.WORKER_SILENT | Code.FENCED:
             # The order may still be carried out, until a stop is answered or the lease
             # is over, without which no worker starts a task.
             _settle_at_lease_end(state, task, now_s)
             state.stop(phase, task, now_s)
-        case _ if may_act:
+        case _ if may_have_started:
             _settle_at_lease_end(state, task, now_s)
             state.note(
                 "start-unsettled",
@@ -157,14 +157,16 @@
     worker.paused_until_s = now_s + pause_s
 
 
-def take_stop_answer(state: FleetState, name: str, attempt: int, now_s: float) -> None:
+def handle_stop_answer(
+    state: FleetState, name: str, attempt: int, now_s: float
+) -> None:
     """Process the answer to a stop order: the attempt can't begin any more."""
     found = state.find_task(name, attempt)
     if found is not None:
         found[1].settled_s = min(found[1].settled_s, now_s)
 
 
-def take_worker_gone(
+def handle_worker_gone(
     state: FleetState, worker: FleetWorker, proof: Proof, now_s: float
 ) -> None:
     """Release all tasks of a worker on which nothing runs, as ``proof`` shows."""
--- a/src/larkhoist/fleet/reservations.py
+++ b/src/larkhoist/fleet/reservations.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from larkhoist.fleet.placing import WorkerGroup, count_fitting
+from larkhoist.fleet.room_search import WorkerGroup, count_fitting
 from larkhoist.fleet.task import Phase, Task, TaskState
 from larkhoist.fleet.worker import FleetWorker
 from larkhoist.jobs.records import PhaseId
--- a/src/larkhoist/fleet/room_maker.py
+++ b/src/larkhoist/fleet/room_maker.py
@@ -1,7 +1,7 @@
 """Make room for urgent phases by stopping others, and hold it until they start."""
 
-from larkhoist.fleet.placing import WorkerGroups
 from larkhoist.fleet.preemption import VictimIndex, make_preemptor
+from larkhoist.fleet.room_search import WorkerGroups
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import ActiveJob, Phase
 from larkhoist.fleet.victim import Victim
@@ -56,7 +56,7 @@
             # The cached index still has the victims just stopped.
             self._victims = None
         waiting = [task.index for task in phase.get_waiting()]
-        self._state.keep_plan(phase, dict(zip(waiting, room.places, strict=True)))
+        self._state.hold_plan(phase, dict(zip(waiting, room.places, strict=True)))
         return True
 
     def _get_victims(self) -> VictimIndex:
@@ -74,19 +74,19 @@
         workers = [state.workers.get(name) for name in phase.plan.values()]
         lost = any(w is None or not state.is_usable(w, self._now_s) for w in workers)
         if lost or set(phase.plan) != {task.index for task in phase.get_waiting()}:
-            state.drop_plan(phase)
+            state.release_plan(phase)
             return True
         for worker in workers:
             wanted = sum(other is worker for other in workers)
             if worker.capacity.count_fitting(phase.need) < wanted:
                 # The worker has shrunk: the phase will not fit even after the stops.
-                state.drop_plan(phase)
+                state.release_plan(phase)
                 return True
             room = worker.capacity - worker.used
             if room.count_fitting(phase.need) < wanted:
                 return False
         places = dict(phase.plan)
-        state.drop_plan(phase)
+        state.release_plan(phase)
         state.assign(phase, places, self._now_s)
         return True
 
@@ -96,7 +96,7 @@
         It may if it would otherwise start late. A job that has started before may not,
         so that two jobs never stop each other in turn.
         """
-        if not active.firm or active.has_begun_whole:
+        if not active.firm or active.all_first_steps_started:
             return False
         return self._now_s >= phase.unserved_since_s + GUARANTEED_PREEMPT_AFTER_S
 
--- a/src/larkhoist/fleet/scheduler.py
+++ b/src/larkhoist/fleet/scheduler.py
@@ -20,10 +20,10 @@
     WorkerReplaced,
 )
 from larkhoist.fleet.reports import (
-    take_report,
-    take_start_answer,
-    take_stop_answer,
-    take_worker_gone,
+    handle_report,
+    handle_start_answer,
+    handle_stop_answer,
+    handle_worker_gone,
 )
 from larkhoist.fleet.restarts import begin_incarnation
 from larkhoist.fleet.silent_leases import LeaseNote, SilentLeases
@@ -71,7 +71,7 @@
             state.note(event, hall=hall, workers=len(workers), tasks=tasks)
             state.changed = True
 
-    def take_list(self, listed: Iterable[ListedTaskWorker], now_s: float) -> None:
+    def update_workers(self, listed: Iterable[ListedTaskWorker], now_s: float) -> None:
         """Update the workers from the platform's list."""
         workers = self.state.workers
         names = set()
@@ -117,7 +117,7 @@
             # The log holds the last failure or lost worker, but not the outcome.
             self.state.end_job(active, Code.JOB_FAILED, now_s, now_ms)
 
-    def take_book(self, book: JobBook, now_s: float, now_ms: int) -> None:
+    def load_jobs(self, book: JobBook, now_s: float, now_ms: int) -> None:
         """Add every job of the book that holds more than an outcome."""
         for entry in book.entries.values():
             if entry.job is None:
@@ -144,7 +144,7 @@
             return None
         policy = self.state.policy
         lease_s = policy.lease_s
-        if found.is_departing(now_s, policy.unlisted_patience_s):
+        if found.is_departing(now_s, policy.unlisted_grace_s):
             lease_s = min(lease_s, policy.departing_lease_s)
         self.state.extend_lease(found, now_s, lease_s)
         return lease_s
@@ -191,7 +191,7 @@
             self.state.changed = True
         found.heard_s = max(found.heard_s, asked_s)
 
-    def take_report(
+    def handle_report(
         self,
         worker: str,
         report: WorkerReport,
@@ -201,27 +201,29 @@
     ) -> None:
         """Process a report that was requested at ``asked_s``."""
         found = self.state.workers[worker]
-        take_report(self.state, found, report, asked_s, now_s, now_ms)
+        handle_report(self.state, found, report, asked_s, now_s, now_ms)
 
-    def take_start_answer(
+    def handle_start_answer(
         self,
         task: str,
         attempt: int,
         code: Code | None,
-        may_act: bool,
+        may_have_started: bool,
         now_s: float,
         detail: str = "",
     ) -> None:
         """Process the answer to a start order; a code of None means that it succeeded.
 
-        ``may_act`` is set if an earlier try of the order may still start the task.
-        ``detail`` is the worker's text for a refusal, for the log.
+        ``may_have_started`` is set if an earlier try of the order may still start the
+        task. ``detail`` is the worker's text for a refusal, for the log.
         """
-        take_start_answer(self.state, task, attempt, code, may_act, now_s, detail)
+        handle_start_answer(
+            self.state, task, attempt, code, may_have_started, now_s, detail
+        )
 
-    def take_stop_answer(self, task: str, attempt: int, now_s: float) -> None:
+    def handle_stop_answer(self, task: str, attempt: int, now_s: float) -> None:
         """Process the answer to a stop order."""
-        take_stop_answer(self.state, task, attempt, now_s)
+        handle_stop_answer(self.state, task, attempt, now_s)
 
     def note_never_sent(self, task: str, attempt: int, now_s: float) -> None:
         """Note that a start order was dropped before it was sent."""
@@ -236,7 +238,7 @@
             found.listed = False
             found.strays = {}
             self._replaced_started_ms[worker] = found.incarnation.started_ms
-            take_worker_gone(self.state, found, WorkerReplaced(), now_s)
+            handle_worker_gone(self.state, found, WorkerReplaced(), now_s)
             self.state.take_late_crashes("", 0, found.address)
 
     def is_wanted(self, task: str, attempt: int) -> bool:
@@ -303,7 +305,7 @@
                 worker.strays = {}
             if worker.tasks and now_s > worker.lease_end_s:
                 proof = LeaseOver(worker.lease_end_s)
-                take_worker_gone(self.state, worker, proof, now_s)
+                handle_worker_gone(self.state, worker, proof, now_s)
             if not worker.tasks and not worker.listed and not worker.strays:
                 self.state.note("worker-forgotten", worker=worker.name)
                 del self.state.workers[worker.name]
@@ -354,7 +356,7 @@
             worker = create_worker(entry, inherited_end_s)
             self.state.workers[entry.name] = worker
         else:
-            worker.take_entry(entry)
+            worker.update_entry(entry)
         self.state.take_late_crashes(entry.name, entry.started_ms, entry.address)
         self._update_worker(worker, entry, now_s)
         self.state.note("worker-listed", worker=entry.name, rack=entry.rack)
@@ -439,7 +441,7 @@
     def _get_inherited_lease_s(self) -> float:
         """Return how long leases of former owners may last, in seconds."""
         policy = self.state.policy
-        return policy.predecessor_s + policy.lapse_s
+        return policy.cut_off_renewal_s + policy.lapse_s
 
 
 def _format_room(room: Resources) -> str:
--- a/src/larkhoist/fleet/silent_leases.py
+++ b/src/larkhoist/fleet/silent_leases.py
@@ -13,10 +13,10 @@
 
 __all__ = ["LeaseNote", "SilentLeases"]
 
-SILENT_S = 1.0
+MIN_SILENCE_S = 1.0
 """How long a worker is silent before its lease is recorded. Most workers that miss one
 call answer the next one by then."""
-REPEAT_S = 0.5
+RECORD_INTERVAL_S = 0.5
 """How often the remaining time is recorded. A later owner may wait that much longer."""
 
 
@@ -73,7 +73,7 @@
         is_same = silent.keys() == self._recorded_end_s.keys() and all(
             end_s <= self._recorded_end_s[name] for name, end_s in silent.items()
         )
-        if is_same and now_s < self._recorded_s + REPEAT_S:
+        if is_same and now_s < self._recorded_s + RECORD_INTERVAL_S:
             return None
         self._withheld |= silent.keys()
         self._recorded_end_s = silent
@@ -84,7 +84,7 @@
     def _must_withhold(self, worker: FleetWorker, now_s: float) -> bool:
         if worker.name in self._withheld:
             return worker.silent or worker.heard_s == float("-inf")
-        return worker.silent and now_s >= worker.silent_s + SILENT_S
+        return worker.silent and now_s >= worker.silent_s + MIN_SILENCE_S
 
     def grant(self, note: LeaseNote) -> list[str]:
         """Apply a note that is on the log; return the workers that may get a lease."""
--- a/src/larkhoist/fleet/state.py
+++ b/src/larkhoist/fleet/state.py
@@ -12,8 +12,8 @@
 from larkhoist.fleet.crashes import count_late_crash, is_given_up, note_start
 from larkhoist.fleet.doubts import HallDoubts
 from larkhoist.fleet.effects import EndedJob, Note, Round, StartTask, StopTask
-from larkhoist.fleet.handed_on_waits import find_wait_start_ms
 from larkhoist.fleet.headroom import UrgentDemand
+from larkhoist.fleet.handed_on_waits import find_wait_start_ms
 from larkhoist.fleet.late_crashes import LateCrashes
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.proofs import (
@@ -98,7 +98,7 @@
         self.round.records.append(outcome)
         self.note("job-ended", job=job_id, result=code.name.lower())
         for phase in active.phases.values():
-            self.drop_plan(phase)
+            self.release_plan(phase)
             for task in phase.tasks:
                 self.stop(phase, task, now_s)
         self.changed = True
@@ -163,7 +163,7 @@
             worker.is_usable(now_s)
             and not self.is_cordoned(worker)
             and not self.quarantine.holds(worker.name, now_s)
-            and not self.doubts.covers(worker.hall, worker.heard_s)
+            and not self.doubts.is_in_doubt(worker.hall, worker.heard_s)
         )
 
     def may_probe(self, worker: FleetWorker, after_s: float, now_s: float) -> bool:
@@ -175,8 +175,8 @@
         return (
             worker.is_usable(now_s)
             and not self.is_cordoned(worker)
-            and self.quarantine.has_calmed(worker.name, after_s, now_s)
-            and not self.doubts.covers(worker.hall, worker.heard_s)
+            and self.quarantine.has_been_failure_free(worker.name, after_s, now_s)
+            and not self.doubts.is_in_doubt(worker.hall, worker.heard_s)
         )
 
     # Transitions of tasks.
@@ -313,7 +313,7 @@
             self._dirty_phases[id(phase)] = phase
         task.note_running()
 
-    def drop_plan(self, phase: Phase) -> None:
+    def release_plan(self, phase: Phase) -> None:
         """Release the room that is held for a phase."""
         for name in phase.plan.values():
             worker = self.workers.get(name)
@@ -321,7 +321,7 @@
                 worker.release_hold(phase.need)
         phase.plan = {}
 
-    def keep_plan(self, phase: Phase, places: dict[int, str]) -> None:
+    def hold_plan(self, phase: Phase, places: dict[int, str]) -> None:
         """Hold room for a phase while other tasks stop."""
         phase.plan = places
         for name in places.values():
--- a/src/larkhoist/fleet/stop_costs.py
+++ b/src/larkhoist/fleet/stop_costs.py
@@ -7,10 +7,10 @@
 from larkhoist.fleet.victim import Victim
 from larkhoist.ports.fleet import Resources
 
-__all__ = ["LocalVictim", "Slot", "list_slots", "make_local"]
+__all__ = ["WorkerVictim", "Slot", "list_slots", "make_worker_victim"]
 
 
-class LocalVictim(msgspec.Struct, frozen=True, gc=False, eq=False):
+class WorkerVictim(msgspec.Struct, frozen=True, gc=False, eq=False):
     """Hold the part of a victim that runs on one worker.
 
     ``gain`` is the room that its tasks use there, ``cost`` their share of the victim's
@@ -32,17 +32,17 @@
 FREE_SLOT = Slot(0.0, ())
 
 
-def make_local(victim: Victim, worker: str) -> LocalVictim:
+def make_worker_victim(victim: Victim, worker: str) -> WorkerVictim:
     """Return the part of a victim that runs on ``worker``."""
     task_count = sum(task.worker == worker for task in victim.tasks)
     gain = victim.phase.need
     if task_count > 1:
         gain = gain.scale(task_count)
-    return LocalVictim(victim, gain, victim.cost * task_count / len(victim.tasks))
+    return WorkerVictim(victim, gain, victim.cost * task_count / len(victim.tasks))
 
 
 def list_slots(
-    free: Resources, need: Resources, victims: list[LocalVictim]
+    free: Resources, need: Resources, victims: list[WorkerVictim]
 ) -> tuple[Slot, ...]:
     """Return a slot for each task that fits into ``free`` and the victims' room.
 
@@ -59,7 +59,7 @@
     )
     remaining = deque(ranked)
     room = free
-    added: list[LocalVictim] = []
+    added: list[WorkerVictim] = []
     while remaining:
         local = remaining.popleft()
         added.append(local)
@@ -89,8 +89,8 @@
 
 
 def _drop_unneeded(
-    added: list[LocalVictim], room: Resources, need: Resources, slots: int
-) -> tuple[list[LocalVictim], Resources]:
+    added: list[WorkerVictim], room: Resources, need: Resources, slots: int
+) -> tuple[list[WorkerVictim], Resources]:
     """Drop the victims that a slot does not need, those of the highest cost first."""
     kept = list(added)
     if len(kept) == 1:
--- a/src/larkhoist/fleet/task.py
+++ b/src/larkhoist/fleet/task.py
@@ -108,8 +108,8 @@
 
     ``plan`` maps task indexes to the workers on which room is held while other tasks
     stop there. ``wait_reasons`` holds the reasons that were logged for the wait, and
-    ``last_noted_s`` is when one was last logged. Until ``claim_again_s`` the phase
-    looks for no victims. ``peers`` is the mean duration of its finished tasks.
+    ``last_noted_s`` is when one was last logged. Until ``next_victim_search_s`` the
+    phase looks for no victims. ``peers`` is the mean duration of its finished tasks.
 
     While tasks wait, ``unserved_since_s`` is the time since which none has started. It
     isn't reset if a task fails or stops while others wait, or if the owner changes. If
@@ -131,7 +131,7 @@
     plan: dict[int, str] = field(default_factory=dict)
     wait_reasons: set[WaitReason] = field(default_factory=set)
     last_noted_s: float = float("-inf")
-    claim_again_s: float = float("-inf")
+    next_victim_search_s: float = float("-inf")
     peers: MeanDuration = field(default_factory=MeanDuration)
     need: Resources = field(init=False)
 
@@ -265,7 +265,7 @@
         )
 
     @property
-    def has_begun_whole(self) -> bool:
+    def all_first_steps_started(self) -> bool:
         """Tell whether all tasks of the first run's initial steps have begun."""
         return all(
             task.has_begun
--- a/src/larkhoist/fleet/victim.py
+++ b/src/larkhoist/fleet/victim.py
@@ -61,7 +61,7 @@
         return False
     if active.yielded_to not in ("", claimant.job.job_id):
         return False
-    return active.has_begun_whole
+    return active.all_first_steps_started
 
 
 def _get_lateness_cost(state: FleetState, active: ActiveJob, phase: Phase) -> float:
--- a/src/larkhoist/fleet/wait_notes.py
+++ b/src/larkhoist/fleet/wait_notes.py
@@ -4,17 +4,17 @@
 from dataclasses import dataclass
 
 from larkhoist.fleet.exclusion import count_exclusions, format_exclusions
-from larkhoist.fleet.placing import count_fitting, list_eligible
 from larkhoist.fleet.ranking import Tier
 from larkhoist.fleet.room import ServiceRoom, count_service_rooms
+from larkhoist.fleet.room_search import count_fitting, list_eligible
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import Phase, TaskState
 from larkhoist.fleet.waits import WaitReason
 from larkhoist.fleet.worker import FleetWorker
 
-__all__ = ["STANDS_S", "WaitNotes"]
+__all__ = ["STALL_INTERVAL_S", "WaitNotes"]
 
-STANDS_S = 3.0
+STALL_INTERVAL_S = 3.0
 """A phase that waits for this long without the start of a task is logged again, and
 then once per such interval. Where there is room, a task must start within this time."""
 STALL_EVENT = "stands"
@@ -93,8 +93,8 @@
     def _choose_event(self, phase: Phase, reason: WaitReason) -> str:
         if reason not in phase.wait_reasons:
             return "waits"
-        is_stalled = self._now_s - phase.unserved_since_s >= STANDS_S
-        if not is_stalled or self._now_s < phase.last_noted_s + STANDS_S:
+        is_stalled = self._now_s - phase.unserved_since_s >= STALL_INTERVAL_S
+        if not is_stalled or self._now_s < phase.last_noted_s + STALL_INTERVAL_S:
             return ""
         self._stall_notes_left -= 1
         return STALL_EVENT if self._stall_notes_left >= 0 else ""
--- a/src/larkhoist/fleet/worker.py
+++ b/src/larkhoist/fleet/worker.py
@@ -58,7 +58,7 @@
     def __post_init__(self):
         self.free = self.capacity
 
-    def take_entry(self, listed: ListedTaskWorker) -> None:
+    def update_entry(self, listed: ListedTaskWorker) -> None:
         """Set the attributes of a worker that was known by name only."""
         self.update_attributes(listed)
         self.capacity = listed.capacity
--- a/src/larkhoist/ownership/log_tenure.py
+++ b/src/larkhoist/ownership/log_tenure.py
@@ -47,14 +47,14 @@
     renewal whose answer was lost, the next renewal and one ``watch_s``. ``patience_s``
     is how much longer this instance waits, so that others can claim first, and
     ``stale_claim_delay_s`` is added while its state may be out of date.
-    ``predecessor_s`` limits how long a holder that cannot reach the log renews workers'
-    leases; it exceeds the usual outages of the platform.
+    ``cut_off_renewal_s`` limits how long a holder that cannot reach the log renews
+    workers' leases; it exceeds the usual outages of the platform.
     """
 
     renew_s: float = 0.3
     watch_s: float = 0.4
     silence_s: float = 1.1
-    predecessor_s: float = 8.0
+    cut_off_renewal_s: float = 8.0
     patience_s: float = 0.0
     stale_claim_delay_s: float = 1.0
 
--- a/src/larkhoist/scheduling/quarantine.py
+++ b/src/larkhoist/scheduling/quarantine.py
@@ -61,7 +61,7 @@
         record = self._records.get(worker)
         return record is not None and now_s < record.until_s
 
-    def has_calmed(self, worker: str, after_s: float, now_s: float) -> bool:
+    def has_been_failure_free(self, worker: str, after_s: float, now_s: float) -> bool:
         """Tell whether a worker's last failure was at least ``after_s`` ago.
 
         False for a worker without failures.
--- a/tests/control/test_tenure_keeper.py
+++ b/tests/control/test_tenure_keeper.py
@@ -20,7 +20,7 @@
 from larkhoist.ports.keyed_log import StoredRecord
 from tests.control.memory_log import MemoryLog
 
-QUICK = TenureTimes(renew_s=0.02, watch_s=0.02, silence_s=0.2, predecessor_s=1.0)
+QUICK = TenureTimes(renew_s=0.02, watch_s=0.02, silence_s=0.2, cut_off_renewal_s=1.0)
 TIMES = TenureTimes()
 FIT, UNFIT = Fitness.FIT, Fitness.LEAVING
 STALE = Fitness.OLD_STATE
@@ -194,8 +194,8 @@
     keepers.log.down = True
     await asyncio.sleep(0.1)
     confirmed_s = first.confirmed_s
-    assert first.may_renew_leases(confirmed_s + QUICK.predecessor_s - 0.1)
-    assert not first.may_renew_leases(confirmed_s + QUICK.predecessor_s + 0.1)
+    assert first.may_renew_leases(confirmed_s + QUICK.cut_off_renewal_s - 0.1)
+    assert not first.may_renew_leases(confirmed_s + QUICK.cut_off_renewal_s + 0.1)
     keepers.log.down = False
     await keepers.wait_for(lambda: first.confirmed_s > confirmed_s)
 
@@ -401,7 +401,7 @@
     first = await keepers.add("a")
     await keepers.wait_for(lambda: first.term)
     keepers.log.lost_answer_count = 1_000_000
-    await asyncio.sleep(2 * QUICK.predecessor_s)
+    await asyncio.sleep(2 * QUICK.cut_off_renewal_s)
     now_s = asyncio.get_running_loop().time()
     assert first.term
     assert first.may_renew_leases(now_s)
--- a/tests/control/test_worker_session.py
+++ b/tests/control/test_worker_session.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(
-    ("codes", "code", "may_act"),
+    ("codes", "code", "may_have_started"),
     [
         ((None,), None, False),
         ((Code.ATTEMPT_TOO_OLD,), Code.ATTEMPT_TOO_OLD, False),
@@ -84,7 +84,9 @@
         ((Code.WORKER_UNREACHABLE, Code.WORKER_SILENT), Code.WORKER_SILENT, True),
     ],
 )
-async def test_a_refusal_after_a_lost_answer_proves_nothing(codes, code, may_act):
+async def test_a_refusal_after_a_lost_answer_proves_nothing(
+    codes, code, may_have_started
+):
     messages = []
     session = make_session(ScriptedWorker(*codes), tell=messages.append)
     session.order_start(ORDER)
@@ -92,7 +94,9 @@
         while not messages:
             await asyncio.sleep(0.005)
     await session.close()
-    assert messages == [StartAnswer("w0", ORDER.task, ORDER.attempt, code, may_act)]
+    assert messages == [
+        StartAnswer("w0", ORDER.task, ORDER.attempt, code, may_have_started)
+    ]
 
 
 class RecordingWorker:
--- a/tests/fleet/cases.py
+++ b/tests/fleet/cases.py
@@ -56,7 +56,7 @@
     work_s: float = 1.0,
     fails=lambda task, worker: False,
     lease_s: float = LEASE_S,
-    predecessor_s: float = PREDECESSOR_S,
+    cut_off_renewal_s: float = PREDECESSOR_S,
 ) -> FleetMachine:
     """Return a simulation for ``jobs``, of which none is submitted yet."""
     specs = {job.job_id: job for job in jobs}
@@ -71,4 +71,4 @@
         for step, spec in enumerate(job.steps):
             if spec.gang:
                 world.gangs[f"{job.job_id}.0.{step}"] = spec.count
-    return FleetMachine(world, guarantees or {}, seed, predecessor_s)
+    return FleetMachine(world, guarantees or {}, seed, cut_off_renewal_s)
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -153,12 +153,13 @@
 class _StartCall:
     """A try of a start.
 
-    ``may_act`` is True if an earlier try got no answer and may still take effect.
+    ``may_have_started`` is True if an earlier try got no answer and may still take
+    effect.
     """
 
     start: StartTask
     tries_left: int
-    may_act: bool
+    may_have_started: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -192,7 +193,7 @@
     session: _Session
     start: StartTask
     tries: int
-    may_act: bool
+    may_have_started: bool
     token: int | None = None
 
 
@@ -213,10 +214,10 @@
         world: SimWorld,
         guarantees: dict[str, int],
         seed: int = 0,
-        predecessor_s: float = PREDECESSOR_S,
+        cut_off_renewal_s: float = PREDECESSOR_S,
     ):
         self.world = world
-        self.predecessor_s = predecessor_s
+        self.cut_off_renewal_s = cut_off_renewal_s
         self.guarantees = guarantees
         self.random = random.Random(seed)
         self.now_s = 100.0
@@ -273,25 +274,25 @@
         """Have another instance take over from what the log holds.
 
         Each stream may have received some of the uncommitted rounds. The former owner
-        renews leases for ``predecessor_s`` more.
+        renews leases for ``cut_off_renewal_s`` more.
         """
         if self.owner is not None:
             self._store_some_rounds(self.owner.uncommitted)
             self.owner.uncommitted = []
-            self.owner.renews_until_s = self.now_s + self.predecessor_s
+            self.owner.renews_until_s = self.now_s + self.cut_off_renewal_s
             self._former_owners.append(self.owner)
         self.term += 1
         self.term_began_s[self.term] = self.now_s
         policy = FleetPolicy(
-            lease_s=self.world.lease_s, predecessor_s=self.predecessor_s
+            lease_s=self.world.lease_s, cut_off_renewal_s=self.cut_off_renewal_s
         )
         scheduler = create_fleet_scheduler(policy, self.now_s)
         scheduler.set_guarantees(self.guarantees)
         scheduler.set_cordoned_halls(self._read_cordoned)
-        scheduler.take_list(self._read_list, self.now_s)
+        scheduler.update_workers(self._read_list, self.now_s)
         left_over = self.book.take_progress(self.progress.values())
         self._store_progress(tuple(make_phase_drop(phase) for phase in left_over))
-        scheduler.take_book(self.book, self.now_s, self.now_ms)
+        scheduler.load_jobs(self.book, self.now_s, self.now_ms)
         self.owner = _Owner(self.term, scheduler)
 
     def step(self) -> None:
@@ -325,7 +326,7 @@
 
     def _step_owner(self, owner: _Owner) -> None:
         scheduler = owner.scheduler
-        scheduler.take_list(self._read_list, self.now_s)
+        scheduler.update_workers(self._read_list, self.now_s)
         scheduler.set_cordoned_halls(self._read_cordoned)
         self._match_sessions(owner)
         inbox, owner.inbox = owner.inbox, []
@@ -360,7 +361,7 @@
 
     def _get_token(self, owner: _Owner) -> int:
         """Return the owner's token; it increases while the owner holds the tenure."""
-        until_s = min(self.now_s, owner.renews_until_s - self.predecessor_s)
+        until_s = min(self.now_s, owner.renews_until_s - self.cut_off_renewal_s)
         renewals = int((until_s - self.term_began_s[owner.term]) / TOKEN_INTERVAL_S)
         return owner.term * TOKENS_PER_TERM + min(renewals, TOKENS_PER_TERM - 1)
 
@@ -389,19 +390,23 @@
         match message:
             case ReportAnswer(worker, asked_s, Success(report)):
                 scheduler.note_heard(worker, asked_s)
-                scheduler.take_report(worker, report, asked_s, self.now_s, self.now_ms)
+                scheduler.handle_report(
+                    worker, report, asked_s, self.now_s, self.now_ms
+                )
             case ReportAnswer(worker, _, Failure(problem)):
                 if problem.code is Code.ORDER_REFUSED:
                     scheduler.note_refused(worker)
                 self._handle_failed_call(owner, worker, problem.code)
             case StartDropped(_, task, attempt):
                 scheduler.note_never_sent(task, attempt, self.now_s)
-            case StartAnswer(worker, task, attempt, code, may_act):
-                scheduler.take_start_answer(task, attempt, code, may_act, self.now_s)
+            case StartAnswer(worker, task, attempt, code, may_have_started):
+                scheduler.handle_start_answer(
+                    task, attempt, code, may_have_started, self.now_s
+                )
                 if code is not None:
                     self._handle_failed_call(owner, worker, code)
             case StopAnswer(_, task, attempt, None):
-                scheduler.take_stop_answer(task, attempt, self.now_s)
+                scheduler.handle_stop_answer(task, attempt, self.now_s)
             case StopAnswer(worker, _, _, code):
                 self._handle_failed_call(owner, worker, code)
 
@@ -519,7 +524,7 @@
                 retry = _Retry(due_s, owner, session, start, START_TRIES, False)
                 self._retries.append(retry)
                 return
-        self._send_start(owner, session, start, START_TRIES, may_act=False)
+        self._send_start(owner, session, start, START_TRIES, may_have_started=False)
 
     def _send_start(
         self,
@@ -528,7 +533,7 @@
         start: StartTask,
         tries: int,
         *,
-        may_act: bool,
+        may_have_started: bool,
         token: int | None = None,
     ) -> None:
         wanted = owner.scheduler.is_wanted(start.task, start.attempt)
@@ -538,10 +543,12 @@
         lease_s = self._grant_lease(owner, session) if wanted else None
         if not session.clock.is_known:
             lease_s = None
-        if lease_s is None and may_act:
+        if lease_s is None and may_have_started:
             code = Code.WORKER_SILENT
             session.report_due = True
-            self._report_start_answer(owner, session, start, code, may_act=True)
+            self._report_start_answer(
+                owner, session, start, code, may_have_started=True
+            )
             return
         if lease_s is None:
             dropped = StartDropped(session.worker, start.task, start.attempt)
@@ -556,13 +563,17 @@
             start.checkpoint,
             session.incarnation.started_ms,
         )
-        self._call(owner, session, _StartCall(start, tries - 1, may_act), order)
+        self._call(
+            owner, session, _StartCall(start, tries - 1, may_have_started), order
+        )
 
     def _report_start_answer(
-        self, owner, session, start, code, *, may_act: bool
+        self, owner, session, start, code, *, may_have_started: bool
     ) -> None:
         owner.inbox.append(
-            StartAnswer(session.worker, start.task, start.attempt, code, may_act)
+            StartAnswer(
+                session.worker, start.task, start.attempt, code, may_have_started
+            )
         )
 
     def _deliver_answers(self) -> None:
@@ -586,7 +597,7 @@
                     retry.session,
                     retry.start,
                     retry.tries,
-                    may_act=retry.may_act,
+                    may_have_started=retry.may_have_started,
                     token=retry.token,
                 )
 
@@ -658,16 +669,20 @@
         self, owner, session, starting: _StartCall, result, token
     ) -> None:
         code = self._update_clock(session, result, token)
-        start, may_act = starting.start, starting.may_act
+        start, may_have_started = starting.start, starting.may_have_started
         if code in UNANSWERED:
-            may_act = may_act or code is Code.WORKER_SILENT
+            may_have_started = may_have_started or code is Code.WORKER_SILENT
             if starting.tries_left:
                 due_s = self.now_s + START_RETRY_S
-                retry = _Retry(due_s, owner, session, start, 1, may_act, token=token)
+                retry = _Retry(
+                    due_s, owner, session, start, 1, may_have_started, token=token
+                )
                 self._retries.append(retry)
                 return
         session.report_due = session.report_due or code in UNANSWERED
-        self._report_start_answer(owner, session, start, code, may_act=may_act)
+        self._report_start_answer(
+            owner, session, start, code, may_have_started=may_have_started
+        )
 
     def _update_clock_from_report(self, session: _Session, result: Result) -> None:
         match result:
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from larkhoist.fleet.placement import CLAIMS_PER_PASS
+from larkhoist.fleet.placement import VICTIM_SEARCHES_PER_PASS
 from larkhoist.jobs.spec import StepSpec
 from larkhoist.ports.task_worker import EndedTask, EndKind, RunningTask, WorkerReport
 from tests.fleet.cases import make_job, make_machine
@@ -29,7 +29,7 @@
 
 
 def test_claims_of_a_burst_are_spread_over_passes():
-    count = 2 * CLAIMS_PER_PASS + 1
+    count = 2 * VICTIM_SEARCHES_PER_PASS + 1
     fillers = [make_job(n, SMALL) for n in range(count)]
     gangs = [make_job(100 + n, GANG, priority=0) for n in range(count)]
     machine = make_machine(count, (*fillers, *gangs), work_s=20.0)
@@ -44,7 +44,11 @@
         decided = scheduler.decide(machine.now_s, machine.now_ms)
         notes = [note for note in decided.notes if note.event == "preempted"]
         claimed.append({note.fields["claimant"] for note in notes})
-    assert [len(one) for one in claimed] == [CLAIMS_PER_PASS, CLAIMS_PER_PASS, 1]
+    assert [len(one) for one in claimed] == [
+        VICTIM_SEARCHES_PER_PASS,
+        VICTIM_SEARCHES_PER_PASS,
+        1,
+    ]
 
 
 def test_a_guaranteed_gang_stops_borrowed_work_before_urgent_work():
@@ -107,7 +111,7 @@
     running = RunningTask(second.task, second.attempt, "", 100)
     report = WorkerReport(0, (running,), (done,))
     at_s = machine.now_s + 0.1
-    scheduler.take_report(first.worker, report, at_s, at_s, machine.now_ms)
+    scheduler.handle_report(first.worker, report, at_s, at_s, machine.now_ms)
     assert not scheduler.decide(at_s, machine.now_ms).stops
 
 
--- a/tests/fleet/test_inherited_leases.py
+++ b/tests/fleet/test_inherited_leases.py
@@ -33,7 +33,7 @@
 def take_over() -> tuple[FleetMachine, str]:
     """Return a simulation after a take-over, and the worker that runs its one task."""
     job = make_job(1, ONE)
-    machine = make_machine(2, (job,), work_s=60.0, predecessor_s=PREDECESSOR_S)
+    machine = make_machine(2, (job,), work_s=60.0, cut_off_renewal_s=PREDECESSOR_S)
     machine.submit(job)
     machine.run(2)
     machine.replace_owner()
@@ -54,7 +54,7 @@
     tasks = sorted(get_worker(machine, name).tasks)
     running = tuple(RunningTask(task, 1, "", 100) for task in tasks)
     report = WorkerReport(0, running, ())
-    machine.owner.scheduler.take_report(name, report, asked_s, now_s, machine.now_ms)
+    machine.owner.scheduler.handle_report(name, report, asked_s, now_s, machine.now_ms)
 
 
 def get_worker(machine: FleetMachine, name: str) -> FleetWorker:
@@ -116,8 +116,8 @@
     scheduler, entries = machine.owner.scheduler, machine._list_workers()
     over_s = get_worker(machine, name).lease_end_s
     rest = [entry for entry in entries if entry.name != name]
-    scheduler.take_list(rest, machine.now_s + 1.0)
-    scheduler.take_list(entries, machine.now_s + 2.0)
+    scheduler.update_workers(rest, machine.now_s + 1.0)
+    scheduler.update_workers(entries, machine.now_s + 2.0)
     assert get_worker(machine, name).lease_end_s == over_s
 
 
@@ -137,7 +137,7 @@
     machine.owner.scheduler.note_refused(name)
     code = Code.ORDER_REFUSED
     (task,) = worker.tasks
-    machine.owner.scheduler.take_start_answer(task, 1, code, True, machine.now_s)
+    machine.owner.scheduler.handle_start_answer(task, 1, code, True, machine.now_s)
     assert worker.lease_end_s == over_s
 
 
@@ -147,7 +147,7 @@
     # its worker was started again only after 75 s.
     machine, name = take_over()
     crash_permanently(machine, name)
-    bound_s = machine.predecessor_s + get_lapse_s(machine) + SLACK_S
+    bound_s = machine.cut_off_renewal_s + get_lapse_s(machine) + SLACK_S
     until_s = machine.now_s + bound_s
     while machine.now_s < until_s:
         machine.run(5.0)
--- a/tests/fleet/test_interleavings.py
+++ b/tests/fleet/test_interleavings.py
@@ -25,8 +25,8 @@
 WORK_S = (0.5, 1.5, 4.0, 12.0)
 """Run times of tasks; some outlast a lease that is not renewed."""
 CLOCK_RATES = (0.98, 0.99, 1.0)
-USERS_LEASE_S = 10.0
-USERS_PREDECESSOR_S = 8.0
+DEPLOYED_LEASE_S = 10.0
+DEPLOYED_CUT_OFF_RENEWAL_S = 8.0
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -40,10 +40,10 @@
     crashing: bool = False,
     restarting: bool = False,
     lease_s: float | None = None,
-    predecessor_s: float = PREDECESSOR_S,
+    cut_off_renewal_s: float = PREDECESSOR_S,
 ) -> FleetMachine:
     """Simulate random jobs and faults and check every promise."""
-    machine, rng, waiting = create_play(seed, lease_s, predecessor_s)
+    machine, rng, waiting = create_play(seed, lease_s, cut_off_renewal_s)
     if crashing:
         _choose_crashing_tasks(machine, seed, waiting)
     restart_rng = random.Random(f"restarting {seed}") if restarting else None
@@ -85,7 +85,7 @@
 
 
 def create_play(
-    seed: int, lease_s: float | None = None, predecessor_s: float = PREDECESSOR_S
+    seed: int, lease_s: float | None = None, cut_off_renewal_s: float = PREDECESSOR_S
 ) -> tuple[FleetMachine, random.Random, list[StagedJob]]:
     """Return a simulation after an idle time, its random source and its jobs.
 
@@ -107,7 +107,7 @@
             worker == failing_worker or task.split(".")[0] in failing_jobs
         ),
         drawn_lease_s if lease_s is None else lease_s,
-        predecessor_s,
+        cut_off_renewal_s,
     )
     for worker in machine.world.workers.values():
         worker.rate = rng.choice(CLOCK_RATES)
@@ -164,6 +164,6 @@
     play(
         seed,
         crashing=True,
-        lease_s=USERS_LEASE_S,
-        predecessor_s=USERS_PREDECESSOR_S,
+        lease_s=DEPLOYED_LEASE_S,
+        cut_off_renewal_s=DEPLOYED_CUT_OFF_RENEWAL_S,
     )
--- a/tests/fleet/test_progress.py
+++ b/tests/fleet/test_progress.py
@@ -28,8 +28,8 @@
 from tests.fleet.machine import FleetMachine
 from tests.fleet.progress import CalmLook, look_for_stand_stills, run_and_look
 from tests.fleet.test_interleavings import (
-    USERS_LEASE_S,
-    USERS_PREDECESSOR_S,
+    DEPLOYED_CUT_OFF_RENEWAL_S,
+    DEPLOYED_LEASE_S,
     create_play,
 )
 
@@ -177,7 +177,7 @@
 
 def play_calm(seed: int, often: float) -> StandStills:
     """Simulate the same with the deployed times; check each calm period."""
-    drawn = create_play(seed, USERS_LEASE_S, USERS_PREDECESSOR_S)
+    drawn = create_play(seed, DEPLOYED_LEASE_S, DEPLOYED_CUT_OFF_RENEWAL_S)
     played = _run_with_faults(often, *drawn)
     calm = CalmLook()
     _run_and_check(played, CHECKED_CALM_S, calm.look)
--- a/tests/fleet/test_proofs.py
+++ b/tests/fleet/test_proofs.py
@@ -41,7 +41,7 @@
 def pass_report(
     machine: FleetMachine, worker: str, content: WorkerReport, at_s
 ) -> None:
-    machine.owner.scheduler.take_report(worker, content, at_s, at_s, machine.now_ms)
+    machine.owner.scheduler.handle_report(worker, content, at_s, at_s, machine.now_ms)
 
 
 def get_proofs(decided: Round) -> list[str]:
@@ -69,7 +69,7 @@
     # Requested before the start was answered, so it may be older than the start.
     pass_report(machine, start.worker, EMPTY_REPORT, at_s)
     assert not get_proofs(decide(machine, at_s))
-    scheduler.take_start_answer(start.task, start.attempt, None, False, at_s)
+    scheduler.handle_start_answer(start.task, start.attempt, None, False, at_s)
     pass_report(machine, start.worker, EMPTY_REPORT, at_s + 0.1)
     assert get_proofs(decide(machine, at_s + 0.1)) == ["absent_from_report"]
 
@@ -80,7 +80,7 @@
     (start,) = decide(machine, machine.now_s).starts
     at_s = machine.now_s + 0.1
     scheduler = machine.owner.scheduler
-    scheduler.take_start_answer(start.task, start.attempt, None, False, at_s)
+    scheduler.handle_start_answer(start.task, start.attempt, None, False, at_s)
     other = EndedTask(1, f"{9:016x}.0.0.0", 1, EndKind.DONE, "")
     partial = WorkerReport(0, (), (other,), whole=False)
     pass_report(machine, start.worker, partial, at_s + 1)
@@ -98,7 +98,7 @@
     scheduler = machine.owner.scheduler
     at_s = machine.now_s
     code = Code.WORKER_SILENT
-    scheduler.take_start_answer(start.task, start.attempt, code, True, at_s)
+    scheduler.handle_start_answer(start.task, start.attempt, code, True, at_s)
     lapse_s = scheduler.state.policy.lapse_s
     for waited_s in (1.0, 5.0, lapse_s):
         scheduler.grant_lease(start.worker, at_s + waited_s)
@@ -122,7 +122,7 @@
     while at_s < machine.now_s + 12.0:
         for start in decide(machine, at_s).starts:
             start_times_s.append(round(at_s - machine.now_s, 1))
-            scheduler.take_start_answer(start.task, start.attempt, code, False, at_s)
+            scheduler.handle_start_answer(start.task, start.attempt, code, False, at_s)
         at_s += 0.1
     gaps = [b - a for a, b in zip(start_times_s, start_times_s[1:], strict=False)]
     assert [round(gap) for gap in gaps] == [1, 1, 2, 4, 4][: len(gaps)]
@@ -141,7 +141,7 @@
     starts = decide(machine, at_s).starts
     assert len(starts) == 4
     for start in starts:
-        scheduler.take_start_answer(start.task, start.attempt, code, False, at_s)
+        scheduler.handle_start_answer(start.task, start.attempt, code, False, at_s)
     worker = scheduler.state.workers["w0"]
     assert worker.paused_until_s == at_s + scheduler.state.policy.refused_pause_s
 
@@ -154,7 +154,7 @@
     at_s = machine.now_s
     for _ in range(2000):
         for start in decide(machine, at_s).starts:
-            scheduler.take_start_answer(start.task, start.attempt, code, False, at_s)
+            scheduler.handle_start_answer(start.task, start.attempt, code, False, at_s)
         at_s += policy.longest_refused_pause_s + 0.1
     worker = scheduler.state.workers["w0"]
     assert worker.refused_pause_s == policy.longest_refused_pause_s
@@ -252,7 +252,7 @@
     assert get_proofs(decided) == ["worker_replaced"]
     assert [again.task for again in decided.starts] == [start.task]
     # Its unwanted run is forgotten, and its remaining entry in the list is ignored.
-    scheduler.take_list(entries, machine.now_s + 1)
+    scheduler.update_workers(entries, machine.now_s + 1)
     assert start.worker not in scheduler.state.workers
 
 
@@ -264,7 +264,7 @@
     at_s = machine.now_s + 0.5
     pass_report(machine, start.worker, WorkerReport(0, (running,), ()), at_s)
     code = Code.WORKER_SILENT
-    scheduler.take_start_answer(start.task, start.attempt, code, True, at_s + 0.5)
+    scheduler.handle_start_answer(start.task, start.attempt, code, True, at_s + 0.5)
     assert not decide(machine, at_s + 0.5).stops
     # The task was seen running, so a later report without it proves that it ended.
     pass_report(machine, start.worker, EMPTY_REPORT, at_s + 1)
@@ -303,10 +303,10 @@
     policy = scheduler.state.policy
     rest = [e for e in machine._list_workers() if e.name != start.worker]
     at_s = machine.now_s
-    scheduler.take_list(rest, at_s)
+    scheduler.update_workers(rest, at_s)
     # Entries that expired while the worker list was unavailable are back by then.
     assert scheduler.grant_lease(start.worker, at_s + 2) == policy.lease_s
-    patience_s = policy.unlisted_patience_s
+    patience_s = policy.unlisted_grace_s
     lease_s = scheduler.grant_lease(start.worker, at_s + patience_s + 0.1)
     assert lease_s == policy.departing_lease_s
 
@@ -318,6 +318,6 @@
     machine = take_over(PhaseProgress(phase, members), job)
     policy = machine.owner.scheduler.state.policy
     # A former owner that lost contact with the log renews leases for some time.
-    over_s = machine.now_s + policy.predecessor_s + policy.lapse_s
+    over_s = machine.now_s + policy.cut_off_renewal_s + policy.lapse_s
     assert not decide(machine, over_s - 0.1).starts
     assert get_proofs(decide(machine, over_s + 0.1)) == ["lease_over"]
--- a/tests/fleet/test_scheduler.py
+++ b/tests/fleet/test_scheduler.py
@@ -336,14 +336,14 @@
     machine.submit(job)
     start = scheduler.decide(machine.now_s, machine.now_ms).starts[0]
     code = Code.ATTEMPT_TOO_OLD
-    scheduler.take_start_answer(start.task, start.attempt, code, True, machine.now_s)
+    scheduler.handle_start_answer(start.task, start.attempt, code, True, machine.now_s)
     again = scheduler.decide(machine.now_s, machine.now_ms)
     assert not again.starts
     assert [stop.task for stop in again.stops] == [start.task]
     done = EndedTask(1, start.task, start.attempt, EndKind.DONE, "")
     report = WorkerReport(0, (), (done,))
     at_s = machine.now_s + 1
-    scheduler.take_report(start.worker, report, at_s, at_s, machine.now_ms)
+    scheduler.handle_report(start.worker, report, at_s, at_s, machine.now_ms)
     ended = scheduler.decide(at_s, machine.now_ms)
     assert not ended.starts
     assert [r.code for r in ended.records if isinstance(r, JobOutcome)] == [
@@ -359,10 +359,10 @@
     machine.submit(job)
     start = scheduler.decide(machine.now_s, machine.now_ms).starts[0]
     code = Code.ORDER_REFUSED
-    scheduler.take_start_answer(start.task, start.attempt, code, False, machine.now_s)
+    scheduler.handle_start_answer(start.task, start.attempt, code, False, machine.now_s)
     done = EndedTask(1, start.task, start.attempt, EndKind.DONE, "")
     report = WorkerReport(0, (), (done,))
-    scheduler.take_report(
+    scheduler.handle_report(
         start.worker, report, machine.now_s, machine.now_s, machine.now_ms
     )
     decided = scheduler.decide(machine.now_s, machine.now_ms)
@@ -430,7 +430,7 @@
     done = EndedTask(1, other.task, other.attempt, EndKind.DONE, "")
     at_s = machine.now_s + 0.1
     report = WorkerReport(0, (), (done,))
-    scheduler.take_report(other.worker, report, at_s, at_s, machine.now_ms)
+    scheduler.handle_report(other.worker, report, at_s, at_s, machine.now_ms)
     starts = scheduler.decide(at_s, machine.now_ms).starts
     assert [start.worker for start in starts] == [other.worker]
     # The room that the stop was to free is no longer held for the urgent job.
@@ -452,7 +452,7 @@
         dataclasses.replace(entry, leaving=entry.name == run.worker)
         for entry in machine._list_workers()
     ]
-    scheduler.take_list(listed, machine.now_s)
+    scheduler.update_workers(listed, machine.now_s)
     rest = [e for e in machine._list_workers() if e.name != run.worker]
-    scheduler.take_list(rest, machine.now_s)
+    scheduler.update_workers(rest, machine.now_s)
     assert not scheduler.decide(machine.now_s, machine.now_ms).starts
--- a/tests/fleet/test_sequences.py
+++ b/tests/fleet/test_sequences.py
@@ -72,11 +72,11 @@
         dataclasses.replace(entry, leaving=entry.name == worker.name)
         for entry in machine._list_workers()
     ]
-    scheduler.take_list(entries, now_s)
-    scheduler.take_list([e for e in entries if e.name != worker.name], now_s)
+    scheduler.update_workers(entries, now_s)
+    scheduler.update_workers([e for e in entries if e.name != worker.name], now_s)
     failed = EndedTask(1, run.task, run.attempt, EndKind.FAILED, "")
     report = WorkerReport(0, (), (failed,))
-    scheduler.take_report(worker.name, report, now_s, now_s, machine.now_ms)
+    scheduler.handle_report(worker.name, report, now_s, now_s, machine.now_ms)
     decided = scheduler.decide(now_s, machine.now_ms)
     assert decided.seen[worker.name].number == 1
     assert not decided.starts
--- a/tests/fleet/test_silent_leases.py
+++ b/tests/fleet/test_silent_leases.py
@@ -1,6 +1,11 @@
 """Test how owners pass on the ends of leases of silent workers."""
 
-from larkhoist.fleet.silent_leases import REPEAT_S, SILENT_S, LeaseNote, SilentLeases
+from larkhoist.fleet.silent_leases import (
+    MIN_SILENCE_S,
+    RECORD_INTERVAL_S,
+    LeaseNote,
+    SilentLeases,
+)
 from larkhoist.fleet.worker import FleetWorker
 from larkhoist.jobs.spec import StepSpec
 from larkhoist.ports.fleet import Resources
@@ -23,12 +28,12 @@
 
 def test_a_silent_worker_gets_no_lease_until_the_log_has_its_answer():
     leases, worker = SilentLeases(), make_worker(10.0)
-    assert leases.update([worker], SILENT_S / 2) is None
-    note = leases.update([worker], SILENT_S)
-    assert note.remaining_s == {"w0": 10.0 - SILENT_S}
+    assert leases.update([worker], MIN_SILENCE_S / 2) is None
+    note = leases.update([worker], MIN_SILENCE_S)
+    assert note.remaining_s == {"w0": 10.0 - MIN_SILENCE_S}
     assert leases.withholds("w0")
     worker.silent = False
-    answered = leases.update([worker], SILENT_S + 0.1)
+    answered = leases.update([worker], MIN_SILENCE_S + 0.1)
     assert answered == LeaseNote({}, frozenset(["w0"]))
     assert leases.withholds("w0")
     assert leases.grant(answered) == ["w0"]
@@ -38,11 +43,11 @@
 
 def test_a_worker_that_falls_silent_again_gets_no_lease_by_an_earlier_note():
     leases, worker = SilentLeases(), make_worker(10.0)
-    leases.update([worker], SILENT_S)
+    leases.update([worker], MIN_SILENCE_S)
     worker.silent = False
-    answered = leases.update([worker], SILENT_S + 0.1)
+    answered = leases.update([worker], MIN_SILENCE_S + 0.1)
     worker.silent = True
-    assert leases.update([worker], SILENT_S + 0.2).remaining_s
+    assert leases.update([worker], MIN_SILENCE_S + 0.2).remaining_s
     assert leases.grant(answered) == []
     assert leases.withholds("w0")
 
@@ -50,10 +55,10 @@
 def test_the_remaining_time_is_kept_again_and_again():
     # A new owner counts the remaining time from when it reads the record.
     leases, worker = SilentLeases(), make_worker(10.0)
-    leases.update([worker], SILENT_S)
-    assert leases.update([worker], SILENT_S + REPEAT_S / 2) is None
-    note = leases.update([worker], SILENT_S + REPEAT_S)
-    assert note.remaining_s == {"w0": 10.0 - SILENT_S - REPEAT_S}
+    leases.update([worker], MIN_SILENCE_S)
+    assert leases.update([worker], MIN_SILENCE_S + RECORD_INTERVAL_S / 2) is None
+    note = leases.update([worker], MIN_SILENCE_S + RECORD_INTERVAL_S)
+    assert note.remaining_s == {"w0": 10.0 - MIN_SILENCE_S - RECORD_INTERVAL_S}
 
 
 def test_what_a_former_owner_kept_shortens_a_belief_and_never_lengthens_it():
@@ -83,7 +88,7 @@
 
 def test_work_outlasts_a_cut_of_its_worker_and_a_change_of_owner():
     job = make_job(1, ONE)
-    machine = make_machine(2, (job,), work_s=20.0, predecessor_s=PREDECESSOR_S)
+    machine = make_machine(2, (job,), work_s=20.0, cut_off_renewal_s=PREDECESSOR_S)
     machine.submit(job)
     machine.run(2)
     (run,) = machine.world.history
--- a/tests/fleet/test_unlisted_workers.py
+++ b/tests/fleet/test_unlisted_workers.py
@@ -59,9 +59,9 @@
         dataclasses.replace(entry, leaving=leaving and entry.name == name)
         for entry in entries
     ]
-    scheduler.take_list(marked, machine.now_s)
+    scheduler.update_workers(marked, machine.now_s)
     rest = [entry for entry in entries if entry.name != name]
-    scheduler.take_list(rest, machine.now_s)
+    scheduler.update_workers(rest, machine.now_s)
 
 
 def decide(machine: FleetMachine, at_s: float) -> Round:
@@ -76,7 +76,9 @@
     running = RunningTask(run.task, run.attempt, "", 100)
     report = WorkerReport(0, (running,), ())
     at_s = machine.now_s + 0.5
-    machine.owner.scheduler.take_report(run.worker, report, at_s, at_s, machine.now_ms)
+    machine.owner.scheduler.handle_report(
+        run.worker, report, at_s, at_s, machine.now_ms
+    )
     decided = decide(machine, at_s)
     assert not decided.starts
     assert not decided.stops
@@ -88,7 +90,7 @@
     decided = decide(machine, machine.now_s)
     done = EndedTask(1, run.task, run.attempt, EndKind.DONE, "")
     at_s = machine.now_s + 0.5
-    machine.owner.scheduler.take_report(
+    machine.owner.scheduler.handle_report(
         run.worker, WorkerReport(0, (), (done,)), at_s, at_s, machine.now_ms
     )
     ended = decide(machine, at_s)
--- a/tests/fleet/test_worker_restarts.py
+++ b/tests/fleet/test_worker_restarts.py
@@ -28,17 +28,19 @@
     return machine, run
 
 
-def take_report(machine: FleetMachine, worker: str, report: WorkerReport) -> list[Note]:
+def handle_report(
+    machine: FleetMachine, worker: str, report: WorkerReport
+) -> list[Note]:
     """Pass a report to the scheduler as just asked for; return the logged notes."""
     scheduler, now_s = machine.owner.scheduler, machine.now_s
-    scheduler.take_report(worker, report, now_s, now_s, machine.now_ms)
+    scheduler.handle_report(worker, report, now_s, now_s, machine.now_ms)
     return list(scheduler.state.round.notes)
 
 
 def test_a_restart_of_a_worker_is_logged():
     machine, run = run_one_task()
-    take_report(machine, run.worker, WorkerReport(0, (), (), started_ms=STARTED_MS))
-    notes = take_report(
+    handle_report(machine, run.worker, WorkerReport(0, (), (), started_ms=STARTED_MS))
+    notes = handle_report(
         machine, run.worker, WorkerReport(0, (), (), started_ms=STARTED_MS + 1)
     )
     (note,) = [note for note in notes if note.event == "worker-restarted"]
@@ -50,7 +52,7 @@
     machine, run = run_one_task()
     machine.owner.scheduler.state.workers[run.worker].seen = 5
     ended = EndedTask(3, run.task, run.attempt, EndKind.DONE, "")
-    notes = take_report(machine, run.worker, WorkerReport(0, (), (ended,)))
+    notes = handle_report(machine, run.worker, WorkerReport(0, (), (ended,)))
     (note,) = [note for note in notes if note.event == "task-end-ignored"]
     assert (note.fields["number"], note.fields["seen"]) == (3, 5)
 
@@ -100,7 +102,7 @@
 
 def list_worker(machine: FleetMachine, entry: ListedTaskWorker) -> None:
     """Pass the scheduler a worker list that contains only ``entry``."""
-    machine.owner.scheduler.take_list([entry], machine.now_s)
+    machine.owner.scheduler.update_workers([entry], machine.now_s)
 
 
 def test_a_leaving_worker_is_usable_after_its_restart():
@@ -132,7 +134,7 @@
     machine.run(1.0)
     (entry,) = machine._list_workers()
     later = WorkerReport(0, (), (), started_ms=entry.started_ms + 1)
-    take_report(machine, "w0", later)
+    handle_report(machine, "w0", later)
     list_worker(machine, replace_fields(entry, leaving=True))
     assert machine.owner.scheduler.state.workers["w0"].is_usable(machine.now_s)
 
@@ -159,9 +161,9 @@
     (entry,) = [e for e in machine._list_workers() if e.name == run.worker]
     list_worker(machine, replace_fields(entry, leaving=leaving))
     started_ms = entry.started_ms + 1
-    take_report(machine, run.worker, WorkerReport(0, (), (), started_ms=started_ms))
+    handle_report(machine, run.worker, WorkerReport(0, (), (), started_ms=started_ms))
     machine.now_s += 0.1
-    take_report(machine, run.worker, WorkerReport(0, (), (), started_ms=started_ms))
+    handle_report(machine, run.worker, WorkerReport(0, (), (), started_ms=started_ms))
     _, task = scheduler.state.find(run.task)
     assert not task.is_on_worker
     assert task.lost.crashes == crashes
--- a/tests/lab/test_watch.py
+++ b/tests/lab/test_watch.py
@@ -226,7 +226,7 @@
     # over and over, and its job does not end.
     told = []
     real_start = SimulatedWorkers.start
-    real_answer = FleetScheduler.take_start_answer
+    real_answer = FleetScheduler.handle_start_answer
 
     def start(workers, order, now_s):
         begun = real_start(workers, order, now_s)
@@ -234,13 +234,13 @@
         told.append([running])
         return begun
 
-    def answer(scheduler, task, attempt, code, may_act, now_s):
+    def answer(scheduler, task, attempt, code, may_have_started, now_s):
         if told and len(told[-1]) == 1:
             told[-1].append(code is None)
-        real_answer(scheduler, task, attempt, code, may_act, now_s)
+        real_answer(scheduler, task, attempt, code, may_have_started, now_s)
 
     monkeypatch.setattr(SimulatedWorkers, "start", start)
-    monkeypatch.setattr(FleetScheduler, "take_start_answer", answer)
+    monkeypatch.setattr(FleetScheduler, "handle_start_answer", answer)
     replay(make_plan("faults", 24), seed, POLICY)
     assert told
     assert [pair for pair in told if pair[0] != pair[1]] == []
--- a/tests/test_hall_owner.py
+++ b/tests/test_hall_owner.py
@@ -92,7 +92,7 @@
         Instance("worker", name, "h", f"{name}:1", rack="r0", accelerators=8)
         for name in NAMES
     )
-    owner.take_list(InstanceList(1, workers))
+    owner.set_instances(InstanceList(1, workers))
     owner._links = {name: RecordingLink() for name in NAMES}
     return owner
 
