--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -69,7 +69,7 @@
 RETRY_TAKEOVER_S = 0.2
 TRACEBACK_FRAMES = 4
 """Number of innermost stack frames in the log line of a failure."""
-TIDY_S = 10.0
+EXPIRY_INTERVAL_S = 10.0
 """How often expired jobs are removed. About 50 jobs expire per second, so that the
 records of one interval fit into one append."""
 
@@ -194,14 +194,14 @@
         """Run a step soon, which applies the current configuration."""
         self._wake.set()
 
-    def knows_leaving(self, worker: str) -> bool:
+    def is_worker_leaving(self, worker: str) -> bool:
         """Tell whether a worker is known to be leaving."""
         if self.scheduler is None:
             return False
         found = self.scheduler.state.workers.get(worker)
         return found is not None and found.leaving
 
-    def measure(self) -> dict[str, float]:
+    def get_gauges(self) -> dict[str, float]:
         """Return the gauges of the scheduler."""
         if self.scheduler is None:
             return {}
@@ -396,7 +396,7 @@
 
     def _expire_jobs(self, now_s: float, now_ms: int) -> None:
         """Remove the records of jobs that ended more than ``keep_s`` seconds ago."""
-        if now_s < self._last_expiry_s + TIDY_S:
+        if now_s < self._last_expiry_s + EXPIRY_INTERVAL_S:
             return
         self._last_expiry_s = now_s
         expired = self._book.list_expired(now_ms - int(self._keep_s * 1000))
--- a/src/larkhoist/control/job_desk.py
+++ b/src/larkhoist/control/job_operations.py
@@ -17,13 +17,13 @@
 from larkhoist.jobs.spec import StagedJob
 from larkhoist.problem import Problem
 
-__all__ = ["DeskTimes", "JobDesk", "Permit"]
+__all__ = ["JobOperationTimes", "JobOperations", "Permit"]
 
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class DeskTimes:
+class JobOperationTimes:
     """The times of the job calls, in seconds.
 
     ``config_age_s`` is the maximum age of the configuration that calls are checked
@@ -52,7 +52,7 @@
         return self.customer.name if self.customer is not None else ""
 
 
-class JobDesk:
+class JobOperations:
     """The job calls: answers from the book, writes submissions and cancellations.
 
     Before something is refused as missing, the log is read to its end, since the state
@@ -66,7 +66,7 @@
         book: JobBook,
         book_follower: StreamFollower,
         writer: StreamWriter,
-        times: DeskTimes,
+        times: JobOperationTimes,
     ):
         self._catalog = catalog
         self._catalog_follower = catalog_follower
@@ -178,7 +178,7 @@
         Calls don't wait for a log that did not answer the last read: the follower
         retries, and the caller can use another instance meanwhile.
         """
-        return follower.in_touch and await follower.catch_up(self._times.check_s)
+        return follower.is_connected and await follower.catch_up(self._times.check_s)
 
     def _check_customer(
         self, job_id: str, entry: BookEntry, customer: str
--- a/src/larkhoist/control/scheduler_node.py
+++ b/src/larkhoist/control/scheduler_node.py
@@ -8,7 +8,7 @@
 from larkhoist.control.catalog_keeper import CONFIGURATION_STREAM, CatalogKeeper
 from larkhoist.control.cordon_keeper import CordonKeeper
 from larkhoist.control.fleet_owner import OWNER_GAUGES, CreatePort, FleetOwner
-from larkhoist.control.job_desk import DeskTimes, JobDesk
+from larkhoist.control.job_operations import JobOperations, JobOperationTimes
 from larkhoist.control.operator_records import OperatorRecords
 from larkhoist.control.roster_keeper import WORKER_STREAM, RosterKeeper
 from larkhoist.control.settings import FleetSettings
@@ -24,7 +24,7 @@
 from larkhoist.ownership.log_tenure import (
     Fitness,
     TenureTimes,
-    get_claim_patience_s,
+    get_claim_delay_s,
 )
 from larkhoist.ports.fleet import HallCordon, ListedTaskWorker
 from larkhoist.ports.keyed_log import KeyedLogPort, StoredRecord
@@ -92,7 +92,7 @@
         self._cordons = CordonKeeper(decode_cordon)
         self._decode_worker = decode_worker
         self._tenure_times = TenureTimes(
-            patience_s=get_claim_patience_s(settings.cores)
+            claim_delay_s=get_claim_delay_s(settings.cores)
         )
         self._catalog_follower = StreamFollower(
             log,
@@ -111,14 +111,16 @@
             self._assess,
             self._queue_term_change,
         )
-        self._desk_times = DeskTimes(config_age_s=0.9 * settings.apply_s)
-        self.desk = JobDesk(
+        self._job_operation_times = JobOperationTimes(
+            config_age_s=0.9 * settings.apply_s
+        )
+        self.job_operations = JobOperations(
             self.catalog,
             self._catalog_follower,
             self.book,
             self._book_follower,
             self._writer,
-            self._desk_times,
+            self._job_operation_times,
         )
         self.catalog.on_change = self._wake_owner
         self._cordons.on_change = self._wake_owner
@@ -177,7 +179,10 @@
             return Fitness.LEAVING
         if self.catalog.catalog is None:
             return Fitness.UNLOADED
-        if now_s - self._catalog_follower.synced_s > self._desk_times.config_age_s:
+        if (
+            now_s - self._catalog_follower.synced_s
+            > self._job_operation_times.config_age_s
+        ):
             return Fitness.OLD_CONFIGURATION
         if now_s - self._book_follower.synced_s > MAX_STATE_AGE_S:
             is_loaded = self._book_follower.is_loaded
@@ -190,17 +195,17 @@
         """Tell whether records have waited too long for the log."""
         return self._writer.get_delay_s(now_s) > MAX_STATE_AGE_S / 2
 
-    def knows_leaving(self, worker: str) -> bool:
+    def is_worker_leaving(self, worker: str) -> bool:
         """Tell whether this instance is the owner and a worker is leaving."""
-        return self.owner is not None and self.owner.knows_leaving(worker)
+        return self.owner is not None and self.owner.is_worker_leaving(worker)
 
-    def measure(self) -> dict[str, float]:
+    def get_gauges(self) -> dict[str, float]:
         """Return the gauges of the metrics page."""
         now_s = asyncio.get_running_loop().time()
         catalog = self.catalog.catalog
         counts = dict.fromkeys(OWNER_GAUGES, 0.0)
         if self.owner is not None:
-            counts |= self.owner.measure()
+            counts |= self.owner.get_gauges()
         return {
             **counts,
             "fleet_term": float(self.term),
--- a/src/larkhoist/control/stream_follower.py
+++ b/src/larkhoist/control/stream_follower.py
@@ -20,7 +20,7 @@
 FIRST_BACKOFF_S = 0.1
 LONGEST_BACKOFF_S = 0.5
 """Short, so that callers notice the end of an outage of the log soon."""
-HELD_UP_S = 5.0
+READ_FAILURE_LOG_INTERVAL_S = 5.0
 """How often a follower logs that it still can't read its stream."""
 
 
@@ -76,7 +76,7 @@
         await cancel_tasks([self._task, *self._checks])
 
     @property
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Tell whether the log answered the last read."""
         return self._is_connected
 
@@ -207,7 +207,7 @@
             self._log_state(
                 "stream-regained" if answered else "stream-lost", now_s, reason
             )
-        elif not answered and now_s >= self._logged_s + HELD_UP_S:
+        elif not answered and now_s >= self._logged_s + READ_FAILURE_LOG_INTERVAL_S:
             self._log_state("stream-held-up", now_s, reason)
 
     def _log_state(self, event: str, now_s: float, reason) -> None:
--- a/src/larkhoist/control/tenure_keeper.py
+++ b/src/larkhoist/control/tenure_keeper.py
@@ -42,7 +42,7 @@
 CLAIM_HOLDOFF_S = 3.0
 """How long an instance does not count as fit to claim after its take-over has failed,
 so that others come first; these read the stream once in 1.1 s while it is renewed."""
-VACANT_S = 2.5
+VACANCY_LOG_INTERVAL_S = 2.5
 """Without a holder, an instance logs why it does not claim once in this time; usually
 another instance has claimed before the first line."""
 
@@ -105,7 +105,7 @@
                         await self._release()
                     offered = self._is_offered
                     await asyncio.sleep(OFFER_POLL_S if offered else RETRY_OFFER_S)
-                    await self._watch()
+                    await self._read_tenure()
         except TimeoutError:
             pass
         took_s = asyncio.get_running_loop().time() - began_s
@@ -165,7 +165,7 @@
         )
 
     async def _run(self) -> None:
-        await self._watch()
+        await self._read_tenure()
         while True:
             now_s = asyncio.get_running_loop().time()
             fitness = self._get_fitness(now_s)
@@ -184,7 +184,7 @@
                 case TenureStep.WATCH:
                     # Read after the pause, so that a claim is based on a fresh read.
                     await asyncio.sleep(self._get_watch_pause_s())
-                    await self._watch()
+                    await self._read_tenure()
 
     async def _wait_to_renew(self, renewed: bool, called_s: float) -> None:
         """Wait until the next renewal, after one that was sent at ``called_s``.
@@ -215,10 +215,10 @@
     def _log_vacancy(self, fitness: Fitness, now_s: float) -> None:
         """Log why this instance does not claim a tenure that has long been vacant."""
         vacant_s = self.get_vacant_s(now_s)
-        if vacant_s < VACANT_S:
+        if vacant_s < VACANCY_LOG_INTERVAL_S:
             self._vacancy_logged_s = 0.0
             return
-        if vacant_s < self._vacancy_logged_s + VACANT_S:
+        if vacant_s < self._vacancy_logged_s + VACANCY_LOG_INTERVAL_S:
             return
         self._vacancy_logged_s = vacant_s
         newest = self._view.newest
@@ -247,7 +247,7 @@
         is_read = self._loaded and self._view.is_read
         if not is_read or newest is None or newest.released:
             return self._times.watch_s
-        pause_s = self._times.silence_s + self._times.patience_s + WATCH_SLACK_S
+        pause_s = self._times.silence_s + self._times.claim_delay_s + WATCH_SLACK_S
         share, self._first_pause_share = self._first_pause_share, 1.0
         return share * pause_s
 
@@ -265,7 +265,7 @@
                 log_event(_logger, "claim-failed", end=offset, reason=problem)
                 # A claim without an answer may have succeeded: the next read shows it.
                 await asyncio.sleep(self._times.renew_s)
-                await self._watch()
+                await self._read_tenure()
 
     async def _renew(self) -> bool:
         called_s = asyncio.get_running_loop().time()
@@ -286,7 +286,7 @@
                     reason=problem,
                 )
         # The renewal may have been appended although its answer was lost.
-        await self._watch()
+        await self._read_tenure()
         return False
 
     async def _append(self, record: TenureRecord):
@@ -296,7 +296,7 @@
             self._log, TENURE_STREAM, (kept,), guard, self._answer_times
         )
 
-    async def _watch(self) -> None:
+    async def _read_tenure(self) -> None:
         called_s = asyncio.get_running_loop().time()
         if not self._loaded:
             result = await self._log.read_newest(TENURE_STREAM)
@@ -307,13 +307,13 @@
                 is_first = not self._loaded and self._view.newest is None
                 self._loaded = True
                 self._read_failing = False
-                self._take_records(page.end, page.records, called_s)
+                self._apply_records(page.end, page.records, called_s)
                 if is_first:
                     self._view.inherited = self._is_predecessor()
             case Failure(problem) if self._loaded and problem.code is Code.HISTORY_GONE:
                 # Not a failed read: the log answers, and still has the newest record.
                 self._loaded = False
-                await self._watch()
+                await self._read_tenure()
             case Failure(problem):
                 self._view.note_failed_read()
                 self._log_failed_read(problem)
@@ -330,7 +330,7 @@
                 reason=problem,
             )
 
-    def _take_records(
+    def _apply_records(
         self, end: int, records: tuple[StoredRecord, ...], called_s: float
     ) -> None:
         newest = _find_newest(records)
--- a/src/larkhoist/fleet/state.py
+++ b/src/larkhoist/fleet/state.py
@@ -12,8 +12,8 @@
 from larkhoist.fleet.crashes import count_late_crash, is_given_up, note_start
 from larkhoist.fleet.doubts import HallDoubts
 from larkhoist.fleet.effects import EndedJob, Note, Round, StartTask, StopTask
-from larkhoist.fleet.headroom import UrgentDemand
 from larkhoist.fleet.handed_on_waits import find_wait_start_ms
+from larkhoist.fleet.headroom import UrgentDemand
 from larkhoist.fleet.late_crashes import LateCrashes
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.proofs import (
--- a/src/larkhoist/ownership/log_tenure.py
+++ b/src/larkhoist/ownership/log_tenure.py
@@ -20,7 +20,7 @@
     "TenureTimes",
     "TenureView",
     "decide_step",
-    "get_claim_patience_s",
+    "get_claim_delay_s",
 ]
 
 TENURE_STREAM = "tenure"
@@ -44,9 +44,9 @@
 
     ``watch_s`` is the interval between reads of the stream while no holder renews.
     ``silence_s`` is how long the stream must not grow before a claim; it covers a
-    renewal whose answer was lost, the next renewal and one ``watch_s``. ``patience_s``
-    is how much longer this instance waits, so that others can claim first, and
-    ``stale_claim_delay_s`` is added while its state may be out of date.
+    renewal whose answer was lost, the next renewal and one ``watch_s``.
+    ``claim_delay_s`` is how much longer this instance waits, so that others can claim
+    first, and ``stale_claim_delay_s`` is added while its state may be out of date.
     ``cut_off_renewal_s`` limits how long a holder that cannot reach the log renews
     workers' leases; it exceeds the usual outages of the platform.
     """
@@ -55,17 +55,17 @@
     watch_s: float = 0.4
     silence_s: float = 1.1
     cut_off_renewal_s: float = 8.0
-    patience_s: float = 0.0
+    claim_delay_s: float = 0.0
     stale_claim_delay_s: float = 1.0
 
     @property
-    def first_patience_s(self) -> float:
+    def first_claim_delay_s(self) -> float:
         """Return how long to wait before a claim on an empty stream.
 
         Instances with more cores do not wait. They start sooner and read the stream
         again after ``watch_s``; by then they may have the operators' configuration.
         """
-        return self.patience_s and self.watch_s + self.patience_s
+        return self.claim_delay_s and self.watch_s + self.claim_delay_s
 
     @property
     def released_claim_delay_s(self) -> float:
@@ -74,7 +74,7 @@
         Instances with more cores do not wait, but while a holder renews they read the
         stream only once in ``silence_s``. A leaving holder continues meanwhile.
         """
-        return self.patience_s and self.silence_s + self.patience_s
+        return self.claim_delay_s and self.silence_s + self.claim_delay_s
 
 
 class Fitness(Enum):
@@ -101,20 +101,21 @@
 class TenureView:
     """The last read state of the stream; ``changed_s`` is when it last grew.
 
-    ``watched_s`` is the time since which every read has succeeded, so that an outage of
-    the log is not mistaken for a holder that no longer renews. ``inherited`` tells that
-    the holder, when first read, was an earlier run of this instance, which has ended.
+    ``readable_since_s`` is the time since which every read has succeeded, so that an
+    outage of the log is not mistaken for a holder that no longer renews. ``inherited``
+    tells that the holder, when first read, was an earlier run of this instance, which
+    has ended.
     """
 
     end: int = 0
     newest: TenureRecord | None = None
     changed_s: float = 0.0
-    watched_s: float = float("inf")
+    readable_since_s: float = float("inf")
     inherited: bool = False
 
     def take(self, end: int, newest: TenureRecord | None, now_s: float) -> None:
         """Apply the result of a read."""
-        self.watched_s = min(self.watched_s, now_s)
+        self.readable_since_s = min(self.readable_since_s, now_s)
         if end != self.end:
             self.changed_s = now_s
             self.inherited = False
@@ -124,7 +125,7 @@
 
     def note_failed_read(self) -> None:
         """Record that the stream could not be read."""
-        self.watched_s = float("inf")
+        self.readable_since_s = float("inf")
 
     @property
     def holder(self) -> str:
@@ -134,7 +135,7 @@
     @property
     def is_read(self) -> bool:
         """Tell whether the last read of the stream succeeded."""
-        return self.watched_s < float("inf")
+        return self.readable_since_s < float("inf")
 
     def get_vacant_s(self, now_s: float) -> float:
         """Return the seconds since the stream last grew.
@@ -142,7 +143,7 @@
         For an empty stream, these count from when it could be read.
         """
         if self.newest is None:
-            return max(0.0, now_s - self.watched_s)
+            return max(0.0, now_s - self.readable_since_s)
         return now_s - self.changed_s
 
 
@@ -167,14 +168,14 @@
 def _is_due(view: TenureView, times: TenureTimes, now_s: float) -> bool:
     """Tell whether the tenure has been vacant long enough for a claim."""
     if view.newest is None:
-        return now_s - view.watched_s >= times.first_patience_s
+        return now_s - view.readable_since_s >= times.first_claim_delay_s
     if view.newest.released:
         return now_s - view.changed_s >= times.released_claim_delay_s
-    unchanged_since_s = max(view.changed_s, view.watched_s)
-    return now_s - unchanged_since_s > times.silence_s + times.patience_s
+    unchanged_since_s = max(view.changed_s, view.readable_since_s)
+    return now_s - unchanged_since_s > times.silence_s + times.claim_delay_s
 
 
-def get_claim_patience_s(cores: float) -> float:
+def get_claim_delay_s(cores: float) -> float:
     """Return how long an instance with ``cores`` CPU cores delays a claim.
 
     The holder does most of the work, so instances with more cores should claim first;
--- a/src/larkhoist/ownership/roster.py
+++ b/src/larkhoist/ownership/roster.py
@@ -33,14 +33,14 @@
     known = scheduler.accelerators.workers
     for name in known.keys() - listed.keys():
         scheduler.set_usable(name, False)
-        if tenure.is_surely_idle(name, now_s):
+        if tenure.must_be_idle(name, now_s):
             scheduler.remove_worker(name)
     for name, worker in listed.items():
         if name not in known:
             scheduler.add_worker(name, worker.rack, worker.accelerators)
         held = tenure.holds(name, now_s)
         scheduler.set_usable(name, held and not worker.leaving)
-        if not held and tenure.is_surely_idle(name, now_s):
+        if not held and tenure.must_be_idle(name, now_s):
             scheduler.note_idle(name)
 
 
--- a/src/larkhoist/ownership/tenure.py
+++ b/src/larkhoist/ownership/tenure.py
@@ -169,7 +169,7 @@
     def update(self, now_s: float) -> None:
         """Update expired leases, unlisted workers and the majority to ``now_s``."""
         for name in list(self.unlisted):
-            if self.is_surely_idle(name, now_s - UNLISTED_RETENTION_S):
+            if self.must_be_idle(name, now_s - UNLISTED_RETENTION_S):
                 del self.unlisted[name]
         for name, lease in self.workers.items():
             if lease.link is WorkerLink.HELD and not self.holds(name, now_s):
@@ -191,7 +191,7 @@
         """Tell whether this instance owns the hall, as of the last update."""
         return self.majority_since_s is not None
 
-    def is_surely_idle(self, name: str, now_s: float) -> bool:
+    def must_be_idle(self, name: str, now_s: float) -> bool:
         """Tell whether an unreachable worker must have stopped all its tasks.
 
         The previous owner may have renewed the worker until it lost its majority, which
@@ -221,7 +221,7 @@
 
     def is_known(self, name: str, now_s: float) -> bool:
         """Tell whether a worker is held or must have stopped its tasks."""
-        return self.holds(name, now_s) or self.is_surely_idle(name, now_s)
+        return self.holds(name, now_s) or self.must_be_idle(name, now_s)
 
     def get_reports(self) -> dict[str, tuple[TaskReport, ...]]:
         """Return the last report of each worker in this tenure."""
--- a/tests/control/test_job_desk.py
+++ b/tests/control/test_job_desk.py
@@ -7,7 +7,7 @@
 
 from larkhoist.codes import Code
 from larkhoist.control.catalog_keeper import CONFIGURATION_STREAM, CatalogKeeper
-from larkhoist.control.job_desk import DeskTimes, JobDesk
+from larkhoist.control.job_operations import JobOperations, JobOperationTimes
 from larkhoist.control.stream_follower import StreamFollower
 from larkhoist.control.stream_writer import StreamWriter
 from larkhoist.jobs.book import JobBook
@@ -21,8 +21,8 @@
 CATALOG = Catalog(1, (QUEUE,), (), 1000)
 
 
-class JobDeskSetup:
-    """A job desk on a log whose one configuration has a public queue."""
+class JobOperationsSetup:
+    """Job operations on a log whose one configuration has a public queue."""
 
     def __init__(self, check_s: float):
         self.log = MemoryLog()
@@ -34,23 +34,23 @@
         book = JobBook()
         follower = StreamFollower(self.log, JOB_STREAM, book, 0.01)
         writer = StreamWriter(self.log, JOB_STREAM, "one")
-        self.desk = JobDesk(
+        self.job_operations = JobOperations(
             catalog,
             self.catalog_follower,
             book,
             follower,
             writer,
-            DeskTimes(check_s=check_s),
+            JobOperationTimes(check_s=check_s),
         )
 
     async def admit(self, path: str = PATH):
         now_s = asyncio.get_running_loop().time()
-        return await self.desk.admit(HOST, path, "", now_s)
+        return await self.job_operations.admit(HOST, path, "", now_s)
 
 
 @pytest.fixture
 async def made():
-    setup = JobDeskSetup(check_s=0.05)
+    setup = JobOperationsSetup(check_s=0.05)
     assert await setup.catalog_follower.catch_up(5)
     return setup
 
@@ -62,7 +62,7 @@
         case Failure(problem):
             assert problem.code is Code.NOT_READY
     # The follower has lost the log. A second check would exceed the limit below.
-    made.desk._times = DeskTimes(check_s=1000.0)
+    made.job_operations._times = JobOperationTimes(check_s=1000.0)
     async with asyncio.timeout(5):
         refused = await made.admit("/elsewhere/")
     assert refused.failure().code is Code.NOT_READY
--- a/tests/control/test_streams.py
+++ b/tests/control/test_streams.py
@@ -141,13 +141,13 @@
 async def test_a_check_without_an_answer_ends_the_touch(log):
     follower = StreamFollower(log, "jobs", Sink(), 0.01)
     assert await follower.catch_up(5)
-    assert follower.in_touch
+    assert follower.is_connected
     log.silent = True
     assert not await follower.catch_up(0.05)
-    assert not follower.in_touch
+    assert not follower.is_connected
     log.silent = False
     assert await follower.catch_up(5)
-    assert follower.in_touch
+    assert follower.is_connected
 
 
 async def test_checks_that_come_together_share_one_read(log, writer):
@@ -176,7 +176,9 @@
 
 
 async def test_a_follower_says_what_holds_it_up(log, caplog, monkeypatch):
-    monkeypatch.setattr("larkhoist.control.stream_follower.HELD_UP_S", 0.05)
+    monkeypatch.setattr(
+        "larkhoist.control.stream_follower.READ_FAILURE_LOG_INTERVAL_S", 0.05
+    )
     follower = StreamFollower(log, "jobs", Sink(), 0.01)
     log.down = True
     await follower.start()
@@ -243,10 +245,10 @@
     await follower.start()
     await wait_for(lambda: follower.is_loaded)
     log.down = True
-    await wait_for(lambda: not follower.in_touch)
+    await wait_for(lambda: not follower.is_connected)
     log.down = False
     async with asyncio.timeout(2):
-        while not follower.in_touch:
+        while not follower.is_connected:
             await asyncio.sleep(0.01)
     await follower.close()
 
--- a/tests/control/test_tenure_keeper.py
+++ b/tests/control/test_tenure_keeper.py
@@ -15,7 +15,7 @@
     TenureTimes,
     TenureView,
     decide_step,
-    get_claim_patience_s,
+    get_claim_delay_s,
 )
 from larkhoist.ports.keyed_log import StoredRecord
 from tests.control.memory_log import MemoryLog
@@ -27,16 +27,16 @@
 
 
 def make_view(
-    changed_s: float, watched_s: float = 0.0, released=False, inherited=False
+    changed_s: float, readable_since_s: float = 0.0, released=False, inherited=False
 ) -> TenureView:
     newest = TenureRecord("other", 3, released)
-    return TenureView(7, newest, changed_s, watched_s, inherited)
+    return TenureView(7, newest, changed_s, readable_since_s, inherited)
 
 
 @pytest.mark.parametrize(
     ("view", "term", "fitness", "now_s", "step"),
     [
-        (TenureView(watched_s=0.0), 0, FIT, 0.0, TenureStep.CLAIM),
+        (TenureView(readable_since_s=0.0), 0, FIT, 0.0, TenureStep.CLAIM),
         # A stream that was never read may contain a claim.
         (TenureView(), 0, FIT, 0.0, TenureStep.WATCH),
         (TenureView(), 0, UNFIT, 0.0, TenureStep.WATCH),
@@ -47,16 +47,16 @@
         (make_view(10.0), 0, FIT, 12.0, TenureStep.CLAIM),
         (make_view(10.0, released=True), 0, FIT, 10.1, TenureStep.CLAIM),
         # The holder counts as silent only while the stream can be read.
-        (make_view(10.0, watched_s=19.0), 0, FIT, 20.0, TenureStep.WATCH),
-        (make_view(10.0, watched_s=19.0), 0, FIT, 21.0, TenureStep.CLAIM),
+        (make_view(10.0, readable_since_s=19.0), 0, FIT, 20.0, TenureStep.WATCH),
+        (make_view(10.0, readable_since_s=19.0), 0, FIT, 21.0, TenureStep.CLAIM),
         # With an old state an instance waits 1 s longer before each claim.
         (make_view(10.0), 0, STALE, 12.0, TenureStep.WATCH),
         (make_view(10.0), 0, STALE, 12.2, TenureStep.CLAIM),
         (make_view(10.0, released=True), 0, STALE, 10.9, TenureStep.WATCH),
         (make_view(10.0, released=True), 0, STALE, 11.1, TenureStep.CLAIM),
         (make_view(10.0, inherited=True), 0, STALE, 10.0, TenureStep.WATCH),
-        (TenureView(watched_s=0.0), 0, STALE, 0.9, TenureStep.WATCH),
-        (TenureView(watched_s=0.0), 0, STALE, 1.1, TenureStep.CLAIM),
+        (TenureView(readable_since_s=0.0), 0, STALE, 0.9, TenureStep.WATCH),
+        (TenureView(readable_since_s=0.0), 0, STALE, 1.1, TenureStep.CLAIM),
         (TenureView(), 0, STALE, 9.0, TenureStep.WATCH),
         (make_view(10.0), 0, Fitness.UNLOADED, 99.0, TenureStep.WATCH),
     ],
@@ -66,24 +66,24 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "patience_s"), [(2.0, 0.0), (1.0, 0.0), (0.8, 0.1), (0.1, 0.4)]
+    ("cores", "claim_delay_s"), [(2.0, 0.0), (1.0, 0.0), (0.8, 0.1), (0.1, 0.4)]
 )
-def test_weaker_instances_leave_claims_to_stronger_ones(cores, patience_s):
-    assert get_claim_patience_s(cores) == pytest.approx(patience_s)
-    times = TenureTimes(silence_s=1.0, patience_s=patience_s)
-    first = TenureView(watched_s=10.0)
-    first_s = 10.0 + times.first_patience_s
+def test_weaker_instances_leave_claims_to_stronger_ones(cores, claim_delay_s):
+    assert get_claim_delay_s(cores) == pytest.approx(claim_delay_s)
+    times = TenureTimes(silence_s=1.0, claim_delay_s=claim_delay_s)
+    first = TenureView(readable_since_s=10.0)
+    first_s = 10.0 + times.first_claim_delay_s
     assert decide_step(first, 0, FIT, times, first_s) is TenureStep.CLAIM
-    if patience_s:
+    if claim_delay_s:
         # An instance with more cores may have read just before the configuration came.
-        assert times.first_patience_s > times.watch_s
+        assert times.first_claim_delay_s > times.watch_s
         assert decide_step(first, 0, FIT, times, first_s - 0.01) is TenureStep.WATCH
     silent, released = make_view(10.0), make_view(10.0, released=True)
     # While a holder renews, other instances read the stream once per silence_s.
-    offered_s = 10.0 + (1.0 + patience_s if patience_s else 0.0)
-    for view, due_s in ((silent, 11.0 + patience_s), (released, offered_s)):
+    offered_s = 10.0 + (1.0 + claim_delay_s if claim_delay_s else 0.0)
+    for view, due_s in ((silent, 11.0 + claim_delay_s), (released, offered_s)):
         assert decide_step(view, 0, FIT, times, due_s + 0.01) is TenureStep.CLAIM
-        if patience_s:
+        if claim_delay_s:
             early_s = due_s - 0.01
             assert decide_step(view, 0, FIT, times, early_s) is TenureStep.WATCH
 
@@ -270,7 +270,7 @@
 
 
 async def test_why_nobody_claims_a_vacant_tenure_is_logged(caplog, monkeypatch):
-    monkeypatch.setattr("larkhoist.control.tenure_keeper.VACANT_S", 0.1)
+    monkeypatch.setattr("larkhoist.control.tenure_keeper.VACANCY_LOG_INTERVAL_S", 0.1)
     log = MemoryLog()
     keeper = TenureKeeper(log, "one", QUICK, lambda: Fitness.OLD_STATE, lambda _: None)
     with caplog.at_level("INFO"):
@@ -351,10 +351,10 @@
     second = await keepers.add("b", TIMES)
     await keepers.wait_for(lambda: second._view.newest is not None)
     first._task.cancel()
-    await second._watch()
+    await second._read_tenure()
     unchanged_since_s = second._view.changed_s
     keepers.log.first_offsets["tenure"] = len(keepers.log.streams["tenure"]) + 1
-    await second._watch()
+    await second._read_tenure()
     assert second._loaded
     assert second._view.changed_s == unchanged_since_s
     assert second._view.is_read
@@ -371,7 +371,7 @@
         keeper._first_pause_share = 1.0
         record = TenureRecord(holder, 7)
         stored = StoredRecord(7, OWNER_KEY, msgspec.msgpack.encode(record))
-        keeper._take_records(8, (stored,), 0.0)
+        keeper._apply_records(8, (stored,), 0.0)
         assert (keeper._first_pause_share < 1.0) == is_redrawn
 
 
--- a/tests/promises/test_gangs_machine.py
+++ b/tests/promises/test_gangs_machine.py
@@ -206,7 +206,7 @@
 
 @pytest.mark.promise(2)
 def test_two_attempts_at_once_without_waiting_for_idle(evidence):
-    with patch.object(Tenure, "is_surely_idle", lambda *_: True):
+    with patch.object(Tenure, "must_be_idle", lambda *_: True):
         machine = HallMachine(WORKERS)
         machine.add_owner("owner")
         machine.submit(JobSpec("j", "c", 2, 8, "rack", payload="run_s=30"))
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -69,8 +69,8 @@
     for name in NAMES[1:]:
         grant(tenure, name, idle_s)
     tenure.update(idle_s)
-    assert not tenure.is_surely_idle("w0", idle_s)
-    assert tenure.is_surely_idle("w0", idle_s + 0.1)
+    assert not tenure.must_be_idle("w0", idle_s)
+    assert tenure.must_be_idle("w0", idle_s + 0.1)
     assert tenure.is_settled(idle_s + 0.1)
 
 
