--- a/lab/replay.py
+++ b/lab/replay.py
@@ -21,8 +21,8 @@
 from larkhoist.fleet.effects import Round, StartTask, StopTask
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.scheduler import create_fleet_scheduler
-from larkhoist.jobs.book import BookEntry
 from larkhoist.jobs.records import JobOutcome
+from larkhoist.jobs.registry import JobEntry
 from larkhoist.ports.fleet import ListedTaskWorker
 from larkhoist.ports.task_worker import EndedTask, WorkerReport
 
@@ -183,7 +183,7 @@
         match event:
             case _Arrive(arrival):
                 self._watch.open_job(arrival)
-                entry = BookEntry(arrival.job)
+                entry = JobEntry(arrival.job)
                 self._scheduler.add_job(entry, now_s, round(now_s * 1000))
             case _Cancel(job_id):
                 self._watch.close_job(job_id)
@@ -296,7 +296,7 @@
         began_s = time.perf_counter()
         self._renew_leases(now_s)
         for end in self._inbox:
-            report = WorkerReport(now_ms, (), (end.ended,), whole=False)
+            report = WorkerReport(now_ms, (), (end.ended,), complete=False)
             self._scheduler.handle_report(end.worker, report, now_s, now_s, now_ms)
         self._inbox = []
         decided = self._scheduler.decide(now_s, now_ms)
--- a/src/larkhoist/adapters/upstream.py
+++ b/src/larkhoist/adapters/upstream.py
@@ -69,7 +69,7 @@
     async def _exchange(
         self, request: SendRequest, progress: _SendProgress
     ) -> SendResult:
-        session = self._keep_alive if request.reuse else self._single_use
+        session = self._keep_alive if request.reuse_connection else self._single_use
         headers = {
             "Content-Type": request.content_type,
             REQUEST_ID_HEADER: request.request_id,
@@ -116,7 +116,7 @@
         "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     )
     returned_id = response.headers.get(REQUEST_ID_HEADER)
-    if returned_id != request.request_id and (request.reuse or returned_id):
+    if returned_id != request.request_id and (request.reuse_connection or returned_id):
         response.close()
         return SendResult(Code.ANSWER_MISMATCH)
     # After the check of the id: this may be the refusal of another request.
--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -41,7 +41,6 @@
 from larkhoist.fleet.silent_leases import LeaseNote
 from larkhoist.fleet.task import TaskState
 from larkhoist.fleet.wait_notes import STALL_INTERVAL_S
-from larkhoist.jobs.book import JobBook
 from larkhoist.jobs.records import (
     JOB_STREAM,
     PROGRESS_STREAM,
@@ -51,6 +50,7 @@
     make_expiry_records,
     make_phase_drop,
 )
+from larkhoist.jobs.registry import JobRegistry
 from larkhoist.ports.keyed_log import KeyedLogPort, StoredRecord
 from larkhoist.ports.task_worker import TaskWorkerPort
 from larkhoist.problem import Problem
@@ -99,7 +99,7 @@
         self,
         term: int,
         log: KeyedLogPort,
-        book: JobBook,
+        registry: JobRegistry,
         book_follower: StreamFollower,
         roster: RosterKeeper,
         roster_follower: StreamFollower,
@@ -116,7 +116,7 @@
         self._log = log
         self._keep_s = keep_s
         self._last_expiry_s = float("-inf")
-        self._book = book
+        self._registry = registry
         self._book_follower = book_follower
         self._roster = roster
         self._roster_follower = roster_follower
@@ -157,13 +157,13 @@
         log_event(_logger, "owner-stopped", term=self.term)
 
     def apply_record(self, record: JobRecord) -> None:
-        """Pass a record that the book has just applied on to the scheduler."""
+        """Pass a record that the registry has just applied on to the scheduler."""
         if self.scheduler is None:
             return
         now_s, now_ms = _get_times()
         match record:
             case JobAccepted(job):
-                entry = self._book.get(job.job_id)
+                entry = self._registry.get(job.job_id)
                 if entry is not None and entry.outcome is None:
                     self.scheduler.add_job(entry, now_s, now_ms)
             case JobCancelRequested(job_id):
@@ -173,11 +173,11 @@
         self._wake.set()
 
     def add_open_jobs(self) -> None:
-        """Pass all open jobs and cancellations on after the book was replaced."""
+        """Pass all open jobs and cancellations on after the registry was replaced."""
         if self.scheduler is None:
             return
         now_s, now_ms = _get_times()
-        for entry in self._book.entries.values():
+        for entry in self._registry.entries.values():
             if entry.job is None or entry.outcome is not None:
                 continue
             self.scheduler.add_job(entry, now_s, now_ms)
@@ -309,8 +309,8 @@
         now_s, now_ms = _get_times()
         scheduler = create_fleet_scheduler(self._policy, now_s)
         scheduler.update_workers(self._roster.list_entries(), now_s)
-        left_over = self._book.take_progress(progress)
-        scheduler.load_jobs(self._book, now_s, now_ms)
+        left_over = self._registry.replace_progress(progress)
+        scheduler.load_jobs(self._registry, now_s, now_ms)
         self.scheduler = scheduler
         log_event(
             _logger,
@@ -399,7 +399,7 @@
         if now_s < self._last_expiry_s + EXPIRY_INTERVAL_S:
             return
         self._last_expiry_s = now_s
-        expired = self._book.list_expired(now_ms - int(self._keep_s * 1000))
+        expired = self._registry.list_expired(now_ms - int(self._keep_s * 1000))
         if expired:
             log_event(_logger, "jobs-expired", term=self.term, jobs=len(expired))
             records = [r for job_id in expired for r in make_expiry_records(job_id)]
--- a/src/larkhoist/control/job_operations.py
+++ b/src/larkhoist/control/job_operations.py
@@ -11,9 +11,9 @@
 from larkhoist.control.stream_follower import StreamFollower
 from larkhoist.control.stream_writer import StreamWriter
 from larkhoist.daemon.logs import log_event
-from larkhoist.jobs.book import BookEntry, JobBook, JobState
 from larkhoist.jobs.catalog import CustomerAccount, JobQueue
 from larkhoist.jobs.records import JobAccepted, JobCancelRequested, encode_job_record
+from larkhoist.jobs.registry import JobEntry, JobRegistry, JobState
 from larkhoist.jobs.spec import StagedJob
 from larkhoist.problem import Problem
 
@@ -53,7 +53,7 @@
 
 
 class JobOperations:
-    """The job calls: answers from the book, writes submissions and cancellations.
+    """The job calls: answers from the registry, writes submissions and cancellations.
 
     Before something is refused as missing, the log is read to its end, since the state
     in memory may be old.
@@ -63,14 +63,14 @@
         self,
         catalog: CatalogKeeper,
         catalog_follower: StreamFollower,
-        book: JobBook,
+        registry: JobRegistry,
         book_follower: StreamFollower,
         writer: StreamWriter,
         times: JobOperationTimes,
     ):
         self._catalog = catalog
         self._catalog_follower = catalog_follower
-        self._book = book
+        self._registry = registry
         self._book_follower = book_follower
         self._writer = writer
         self._times = times
@@ -95,7 +95,7 @@
 
     async def submit(self, job: StagedJob, timeout_s: float) -> Problem | None:
         """Append a job to the log; None means that it is accepted."""
-        entry = self._book.get(job.job_id)
+        entry = self._registry.get(job.job_id)
         if entry is not None:
             log_event(_logger, "job-known", job=job.job_id, state=entry.state.value)
             return self._check_customer(job.job_id, entry, job.customer)
@@ -145,7 +145,7 @@
         """Return how many jobs of a queue have not started."""
         if now_s - self._book_follower.synced_s > self._times.state_age_s:
             return self._refuse(Code.NOT_READY, "the state may be old")
-        return Success(self._book.count_waiting(permit.queue.name))
+        return Success(self._registry.count_waiting(permit.queue.name))
 
     def _find_permit(self, host: str, path: str, credential: str):
         catalog = self._catalog.catalog
@@ -158,12 +158,12 @@
         return Success(Permit(queue, customer, catalog.version))
 
     async def _find(self, job_id: str, permit: Permit, now_s: float):
-        entry = self._book.get(job_id)
+        entry = self._registry.get(job_id)
         if entry is None or entry.outcome is None:
             # Without an outcome the state may have changed, and an unknown job may have
             # been added.
             checked = await self._check(self._book_follower)
-            entry = self._book.get(job_id)
+            entry = self._registry.get(job_id)
             age_s = now_s - self._book_follower.synced_s
             if not checked and (entry is None or age_s > self._times.state_age_s):
                 return self._refuse(Code.NOT_READY, "the state may be old")
@@ -181,7 +181,7 @@
         return follower.is_connected and await follower.catch_up(self._times.check_s)
 
     def _check_customer(
-        self, job_id: str, entry: BookEntry, customer: str
+        self, job_id: str, entry: JobEntry, customer: str
     ) -> Problem | None:
         if entry.customer == customer or not customer or not entry.customer:
             return None
--- a/src/larkhoist/control/scheduler_node.py
+++ b/src/larkhoist/control/scheduler_node.py
@@ -18,9 +18,9 @@
 from larkhoist.control.worker_session import SessionTimes
 from larkhoist.daemon.logs import log_event
 from larkhoist.fleet.policy import FleetPolicy
-from larkhoist.jobs.book import JobBook
 from larkhoist.jobs.catalog import Catalog
 from larkhoist.jobs.records import JOB_STREAM
+from larkhoist.jobs.registry import JobRegistry
 from larkhoist.ownership.log_tenure import (
     Fitness,
     TenureTimes,
@@ -55,17 +55,17 @@
 
 
 class _BookSink:
-    """Apply records to the book and pass them on to the owner."""
+    """Apply records to the registry and pass them on to the owner."""
 
     def __init__(self, node: "SchedulerNode"):
         self._node = node
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
-        self._node.book.replace(records)
+        self._node.registry.replace(records)
         self._node.update_owner_jobs()
 
     def apply(self, record: StoredRecord) -> None:
-        decoded = self._node.book.apply(record)
+        decoded = self._node.registry.apply(record)
         if decoded is not None and self._node.owner is not None:
             self._node.owner.apply_record(decoded)
 
@@ -86,7 +86,7 @@
         self._log = log
         self._create_port = create_port
         self._incarnation = f"{settings.instance}/{uuid.uuid4().hex[:8]}"
-        self.book = JobBook()
+        self.registry = JobRegistry()
         self.owner: FleetOwner | None = None
         self.catalog = CatalogKeeper(decode_catalog)
         self._cordons = CordonKeeper(decode_cordon)
@@ -117,7 +117,7 @@
         self.job_operations = JobOperations(
             self.catalog,
             self._catalog_follower,
-            self.book,
+            self.registry,
             self._book_follower,
             self._writer,
             self._job_operation_times,
@@ -210,7 +210,7 @@
             **counts,
             "fleet_term": float(self.term),
             "fleet_vacant_s": self._tenure.get_vacant_s(now_s),
-            "fleet_jobs": float(len(self.book.entries)),
+            "fleet_jobs": float(len(self.registry.entries)),
             "fleet_config_version": float(catalog.version if catalog else 0),
             "fleet_cordoned_halls": float(len(self._cordons.halls)),
             "fleet_config_age_s": now_s - self._catalog_follower.synced_s,
@@ -221,7 +221,7 @@
         }
 
     def update_owner_jobs(self) -> None:
-        """Pass jobs on to the owner after the book was loaded again."""
+        """Pass jobs on to the owner after the registry was loaded again."""
         if self.owner is not None:
             self.owner.add_open_jobs()
 
@@ -263,7 +263,7 @@
         self.owner = FleetOwner(
             term,
             self._log,
-            self.book,
+            self.registry,
             self._book_follower,
             roster,
             roster_follower,
--- a/src/larkhoist/daemon/entry.py
+++ b/src/larkhoist/daemon/entry.py
@@ -212,7 +212,7 @@
             request_id=call.request_id,
             trace_parent=get_trace_parent(span),
             timeout_s=max(MIN_SEND_TIMEOUT_S, remaining_s),
-            reuse=call.service.echoes_request_id,
+            reuse_connection=call.service.echoes_request_id,
             max_answer_bytes=self._max_answer_bytes,
         )
 
--- a/src/larkhoist/fleet/reports.py
+++ b/src/larkhoist/fleet/reports.py
@@ -63,7 +63,7 @@
     worker.strays = {}
     for running in report.running:
         _take_running(state, worker, running, now_s)
-    if not report.whole:
+    if not report.complete:
         return
     lost = []
     for phase, task in state.list_tasks_on(worker):
--- a/src/larkhoist/fleet/scheduler.py
+++ b/src/larkhoist/fleet/scheduler.py
@@ -30,7 +30,7 @@
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import TaskState
 from larkhoist.fleet.worker import FleetWorker, create_worker
-from larkhoist.jobs.book import BookEntry, JobBook
+from larkhoist.jobs.registry import JobEntry, JobRegistry
 from larkhoist.ports.fleet import ListedTaskWorker, Resources
 from larkhoist.ports.task_worker import WorkerReport
 
@@ -95,7 +95,7 @@
             if name not in names and worker.listed:
                 self._unlist(worker, now_s)
 
-    def add_job(self, entry: BookEntry, now_s: float, now_ms: int) -> None:
+    def add_job(self, entry: JobEntry, now_s: float, now_ms: int) -> None:
         """Add a job that was read from the log."""
         # A job that ended in this term may be read again before its outcome is read.
         if entry.job.job_id in self._added_job_ids or entry.unreadable:
@@ -117,14 +117,14 @@
             # The log holds the last failure or lost worker, but not the outcome.
             self.state.end_job(active, Code.JOB_FAILED, now_s, now_ms)
 
-    def load_jobs(self, book: JobBook, now_s: float, now_ms: int) -> None:
-        """Add every job of the book that holds more than an outcome."""
-        for entry in book.entries.values():
+    def load_jobs(self, registry: JobRegistry, now_s: float, now_ms: int) -> None:
+        """Add every job of the registry that holds more than an outcome."""
+        for entry in registry.entries.values():
             if entry.job is None:
                 continue
             self.add_job(entry, now_s, now_ms)
         self._silent_leases.take_over(
-            book.remaining_leases_s, self.state.workers, now_s
+            registry.remaining_leases_s, self.state.workers, now_s
         )
 
     def cancel_job(self, job_id: str, now_s: float, now_ms: int) -> None:
--- a/src/larkhoist/jobs/checks.py
+++ b/src/larkhoist/jobs/checks.py
@@ -37,7 +37,7 @@
         yield from _find_step_faults(number, step)
     tasks = job.run_count * sum(step.count for step in job.steps)
     if tasks > MAX_JOB_TASKS:
-        yield f"runs: {job.runs}, {tasks} tasks in total; give at most {MAX_JOB_TASKS}"
+        yield f"runs: {job.runs} of {tasks} tasks in all; give at most {MAX_JOB_TASKS}"
 
 
 def _find_step_faults(number: int, step: StepSpec) -> Iterator[str]:
@@ -46,7 +46,7 @@
         yield f"{place}.count: {step.count}; give 1 to {MAX_STEP_TASKS}"
     for before in step.depends_on:
         if not 0 <= before < number:
-            yield f"{place}.depends_on: {before}; give earlier steps, counted from 0"
+            yield f"{place}.depends_on: {before}; name steps before it, from 0 on"
     for field in ("cpu_milli", "memory_mb", "accelerators", "estimate_ms"):
         value = getattr(step, field)
         if value < 0:
--- a/src/larkhoist/jobs/book.py
+++ b/src/larkhoist/jobs/registry.py
@@ -1,6 +1,6 @@
 """Build the state of every staged job from the records on the log.
 
-Every instance keeps a job book. Queries of callers are answered from it, and a new
+Every instance keeps a job registry. Queries of callers are answered from it, and a new
 owner loads its jobs from it.
 """
 
@@ -29,7 +29,7 @@
 from larkhoist.jobs.spec import StagedJob
 from larkhoist.ports.keyed_log import StoredRecord
 
-__all__ = ["BookEntry", "JobBook", "JobState"]
+__all__ = ["JobEntry", "JobRegistry", "JobState"]
 
 
 _logger = logging.getLogger(__name__)
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class BookEntry:
+class JobEntry:
     """State of one job; its records may be applied in any order.
 
     ``job`` may be None once the job has ended. ``phases`` is the progress that this
@@ -85,7 +85,7 @@
         return self.outcome.customer if self.outcome is not None else ""
 
 
-class JobBook:
+class JobRegistry:
     """Entries of all jobs by id.
 
     ``remaining_leases_s`` is the longest time for which the leases of silent workers
@@ -93,7 +93,7 @@
     """
 
     def __init__(self):
-        self.entries: dict[str, BookEntry] = {}
+        self.entries: dict[str, JobEntry] = {}
         self.remaining_leases_s: dict[str, float] = {}
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
@@ -118,7 +118,7 @@
         self._apply_decoded(decoded)
         return decoded
 
-    def get(self, job_id: str) -> BookEntry | None:
+    def get(self, job_id: str) -> JobEntry | None:
         """Return the entry of an accepted job, None if there is none."""
         entry = self.entries.get(job_id)
         if entry is None or (entry.job is None and entry.outcome is None):
@@ -134,7 +134,7 @@
             for entry in self.entries.values()
         )
 
-    def take_progress(self, records: Iterable[StoredRecord]) -> list[PhaseId]:
+    def replace_progress(self, records: Iterable[StoredRecord]) -> list[PhaseId]:
         """Replace the progress of all jobs by the one in ``records``.
 
         Returns phases that belong to no open job. They remain on the log if an owner
@@ -191,8 +191,8 @@
             case JobOutcome(job_id):
                 self._get_or_create(job_id).outcome = record
 
-    def _get_or_create(self, job_id: str) -> BookEntry:
-        return self.entries.setdefault(job_id, BookEntry())
+    def _get_or_create(self, job_id: str) -> JobEntry:
+        return self.entries.setdefault(job_id, JobEntry())
 
     def _remove_key(self, key: str) -> None:
         job_id = key[1:]
--- a/src/larkhoist/ports/task_worker.py
+++ b/src/larkhoist/ports/task_worker.py
@@ -111,7 +111,7 @@
 class WorkerReport:
     """Report of a worker; ``clock_ms`` is its steady clock.
 
-    If ``whole`` is False, the report does not list all ends: a task that it does not
+    If ``complete`` is False, the report does not list all ends: a task that it does not
     name may have ended. ``started_ms`` is the start time of the worker in Unix
     milliseconds, 0 if unknown.
     """
@@ -119,7 +119,7 @@
     clock_ms: int
     running: tuple[RunningTask, ...]
     ended: tuple[EndedTask, ...]
-    whole: bool = True
+    complete: bool = True
     started_ms: int = 0
 
 
--- a/src/larkhoist/ports/upstream.py
+++ b/src/larkhoist/ports/upstream.py
@@ -12,8 +12,8 @@
 class SendRequest:
     """One request.
 
-    ``timeout_s`` covers the time from connect to the last byte. ``reuse`` permits an
-    open connection to be used again.
+    ``timeout_s`` covers the time from connect to the last byte. ``reuse_connection``
+    permits an open connection to be used again.
     """
 
     address: str
@@ -23,7 +23,7 @@
     request_id: str
     trace_parent: str
     timeout_s: float
-    reuse: bool
+    reuse_connection: bool
     max_answer_bytes: int
 
 
--- a/tests/control/test_job_desk.py
+++ b/tests/control/test_job_desk.py
@@ -10,9 +10,9 @@
 from larkhoist.control.job_operations import JobOperations, JobOperationTimes
 from larkhoist.control.stream_follower import StreamFollower
 from larkhoist.control.stream_writer import StreamWriter
-from larkhoist.jobs.book import JobBook
 from larkhoist.jobs.catalog import Catalog, JobQueue
 from larkhoist.jobs.records import JOB_STREAM
+from larkhoist.jobs.registry import JobRegistry
 from larkhoist.ports.keyed_log import KeyedRecord
 from tests.control.memory_log import MemoryLog
 
@@ -31,13 +31,13 @@
         self.catalog_follower = StreamFollower(
             self.log, CONFIGURATION_STREAM, catalog, 0.01
         )
-        book = JobBook()
-        follower = StreamFollower(self.log, JOB_STREAM, book, 0.01)
+        registry = JobRegistry()
+        follower = StreamFollower(self.log, JOB_STREAM, registry, 0.01)
         writer = StreamWriter(self.log, JOB_STREAM, "one")
         self.job_operations = JobOperations(
             catalog,
             self.catalog_follower,
-            book,
+            registry,
             follower,
             writer,
             JobOperationTimes(check_s=check_s),
--- a/tests/fleet/checks.py
+++ b/tests/fleet/checks.py
@@ -52,10 +52,10 @@
 def check_outcomes(machine: FleetMachine) -> None:
     """Raise ``AssertionError`` if a job's outcome does not match its tasks' ends."""
     done = {run.task for run in machine.world.history if run.kind is EndKind.DONE}
-    assert machine.book.entries.keys() == machine.jobs.keys()
+    assert machine.registry.entries.keys() == machine.jobs.keys()
     # Only the outcome of an ended job is kept.
     assert machine.progress == {}
-    for job_id, entry in machine.book.entries.items():
+    for job_id, entry in machine.registry.entries.items():
         assert entry.outcome is not None, f"job {job_id} has no outcome"
         assert entry.job is None, f"ended job {job_id} still has its specification"
         if entry.outcome.code != Code.JOB_FINISHED:
@@ -184,7 +184,7 @@
             causes.add(job.job_id)
         if lost[run.task] >= MAX_CRASHES - 1:
             causes.add(job.job_id)
-    for job_id, entry in machine.book.entries.items():
+    for job_id, entry in machine.registry.entries.items():
         if entry.outcome is not None and entry.outcome.code == Code.JOB_FAILED:
             assert job_id in causes, f"{job_id} failed without a cause"
 
--- a/tests/fleet/disturbances.py
+++ b/tests/fleet/disturbances.py
@@ -113,8 +113,8 @@
                 self._leave(worker)
             case 16 if rng.random() < 0.3:
                 self._crash(worker)
-            case 17 | 18 if machine.book.entries and rng.random() < 0.5:
-                machine.cancel(rng.choice(list(machine.book.entries)))
+            case 17 | 18 if machine.registry.entries and rng.random() < 0.5:
+                machine.cancel(rng.choice(list(machine.registry.entries)))
 
     def _toggle_log(self) -> None:
         """Stop or restore the log; entries may have lapsed by the time it is back."""
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -29,7 +29,6 @@
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.scheduler import FleetScheduler, create_fleet_scheduler
 from larkhoist.fleet.silent_leases import LeaseNote
-from larkhoist.jobs.book import JobBook
 from larkhoist.jobs.records import (
     JobAccepted,
     JobCancelRequested,
@@ -37,6 +36,7 @@
     encode_job_record,
     make_phase_drop,
 )
+from larkhoist.jobs.registry import JobRegistry
 from larkhoist.jobs.spec import StagedJob
 from larkhoist.ports.fleet import ListedTaskWorker
 from larkhoist.ports.keyed_log import KeyedRecord, StoredRecord
@@ -221,7 +221,7 @@
         self.guarantees = guarantees
         self.random = random.Random(seed)
         self.now_s = 100.0
-        self.book = JobBook()
+        self.registry = JobRegistry()
         self.progress: dict[str, StoredRecord] = {}
         self.jobs: dict[str, StagedJob] = {}
         self.offset = 0
@@ -260,7 +260,7 @@
         """Accept a job."""
         self.jobs[job.job_id] = job
         self._append(JobAccepted(job))
-        entry = self.book.get(job.job_id)
+        entry = self.registry.get(job.job_id)
         if entry.outcome is None:
             self.owner.scheduler.add_job(entry, self.now_s, self.now_ms)
 
@@ -290,9 +290,9 @@
         scheduler.set_guarantees(self.guarantees)
         scheduler.set_cordoned_halls(self._read_cordoned)
         scheduler.update_workers(self._read_list, self.now_s)
-        left_over = self.book.take_progress(self.progress.values())
+        left_over = self.registry.replace_progress(self.progress.values())
         self._store_progress(tuple(make_phase_drop(phase) for phase in left_over))
-        scheduler.load_jobs(self.book, self.now_s, self.now_ms)
+        scheduler.load_jobs(self.registry, self.now_s, self.now_ms)
         self.owner = _Owner(self.term, scheduler)
 
     def step(self) -> None:
@@ -855,7 +855,7 @@
 
     def _store_jobs(self, records: tuple[KeyedRecord, ...]) -> None:
         for kept in records:
-            self.book.apply(StoredRecord(self.offset, kept.key, kept.value))
+            self.registry.apply(StoredRecord(self.offset, kept.key, kept.value))
             self.offset += 1
 
     def _store_progress(self, records: tuple[KeyedRecord, ...]) -> None:
--- a/tests/fleet/progress.py
+++ b/tests/fleet/progress.py
@@ -82,7 +82,7 @@
         by_job.setdefault(run.task.split(".")[0], []).append(run)
     idle = [
         step
-        for job_id, entry in machine.book.entries.items()
+        for job_id, entry in machine.registry.entries.items()
         if entry.outcome is None and not entry.cancelled
         for step in _list_due_steps(machine, job_id, by_job.get(job_id, []))
         if step.task is not None or job_id not in running
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -68,7 +68,7 @@
 
 
 def get_code(machine: FleetMachine, job: StagedJob) -> int | None:
-    outcome = machine.book.get(job.job_id).outcome
+    outcome = machine.registry.get(job.job_id).outcome
     return outcome and outcome.code
 
 
@@ -235,7 +235,7 @@
         machine.run(2.5)
         machine.world.begin_life(worker)
     machine.run(5)
-    assert machine.book.get(job.job_id).outcome is None
+    assert machine.registry.get(job.job_id).outcome is None
     assert find_busy_worker(machine)
 
 
@@ -247,7 +247,7 @@
         machine.run(62)
         crash_and_replace_worker(machine, find_busy_worker(machine))
     machine.run(5)
-    assert machine.book.get(job.job_id).outcome is None
+    assert machine.registry.get(job.job_id).outcome is None
     for _ in range(3):
         machine.run(5)
         crash_and_replace_worker(machine, find_busy_worker(machine))
--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -154,7 +154,7 @@
 
 
 def has_unfinished_jobs(machine: FleetMachine) -> bool:
-    return any(entry.outcome is None for entry in machine.book.entries.values())
+    return any(entry.outcome is None for entry in machine.registry.entries.values())
 
 
 def list_staying_workers(machine: FleetMachine) -> list[SimWorker]:
--- a/tests/fleet/test_proofs.py
+++ b/tests/fleet/test_proofs.py
@@ -8,8 +8,8 @@
 
 from larkhoist.codes import Code
 from larkhoist.fleet.effects import Round
-from larkhoist.jobs.book import BookEntry
 from larkhoist.jobs.records import JobOutcome, PhaseId, PhaseProgress, TaskProgress
+from larkhoist.jobs.registry import JobEntry
 from larkhoist.jobs.spec import StagedJob, StepSpec
 from larkhoist.ports.task_worker import (
     CLOCK_DRIFT,
@@ -56,7 +56,7 @@
 def take_over(progress: PhaseProgress, job: StagedJob) -> FleetMachine:
     """Return a machine whose owner has read a job's progress."""
     machine = make_machine(2, (job,))
-    entry = BookEntry(job=job, begun=True, phases={progress.phase: progress})
+    entry = JobEntry(job=job, begun=True, phases={progress.phase: progress})
     machine.owner.scheduler.add_job(entry, machine.now_s, machine.now_ms)
     return machine
 
@@ -82,7 +82,7 @@
     scheduler = machine.owner.scheduler
     scheduler.handle_start_answer(start.task, start.attempt, None, False, at_s)
     other = EndedTask(1, f"{9:016x}.0.0.0", 1, EndKind.DONE, "")
-    partial = WorkerReport(0, (), (other,), whole=False)
+    partial = WorkerReport(0, (), (other,), complete=False)
     pass_report(machine, start.worker, partial, at_s + 1)
     assert not decide(machine, at_s + 1).starts
     done = EndedTask(2, start.task, start.attempt, EndKind.DONE, "")
--- a/tests/fleet/test_scheduler.py
+++ b/tests/fleet/test_scheduler.py
@@ -6,7 +6,6 @@
 
 from larkhoist.codes import Code
 from larkhoist.control.round_records import encode_round
-from larkhoist.jobs.book import BookEntry
 from larkhoist.jobs.records import (
     JobBegun,
     JobOutcome,
@@ -14,6 +13,7 @@
     PhaseProgress,
     TaskProgress,
 )
+from larkhoist.jobs.registry import JobEntry
 from larkhoist.jobs.spec import StepSpec
 from larkhoist.ports.task_worker import EndedTask, EndKind, WorkerReport
 from tests.fleet.cases import make_job, make_machine
@@ -23,7 +23,7 @@
 
 
 def get_code(machine, job) -> int | None:
-    outcome = machine.book.get(job.job_id).outcome
+    outcome = machine.registry.get(job.job_id).outcome
     return outcome.code if outcome is not None else None
 
 
@@ -245,7 +245,7 @@
     machine.submit(job)
     machine.run(3)
     # The job is read again without its outcome, then accepted a second time.
-    late = BookEntry(job=job)
+    late = JobEntry(job=job)
     machine.owner.scheduler.add_job(late, machine.now_s, machine.now_ms)
     machine.run(3)
     machine.submit(job)
@@ -379,7 +379,7 @@
         PhaseId(job.job_id, 0, 0), (TaskProgress(attempt=1, failures=1),)
     )
     machine = make_machine(1, (job,))
-    entry = BookEntry(job=job, phases={progress.phase: progress})
+    entry = JobEntry(job=job, phases={progress.phase: progress})
     machine.owner.scheduler.add_job(entry, machine.now_s, machine.now_ms)
     decided = machine.owner.scheduler.decide(machine.now_s, machine.now_ms)
     assert not decided.starts
--- a/tests/fleet/test_sequences.py
+++ b/tests/fleet/test_sequences.py
@@ -159,7 +159,7 @@
     )
     machine.submit(job)
     machine.run(30)
-    assert machine.book.get(job.job_id).outcome is not None, "the gang never ended"
+    assert machine.registry.get(job.job_id).outcome is not None, "the gang never ended"
 
 
 def test_a_worker_that_refuses_a_start_does_not_hold_it_up_while_others_are_free():
--- a/tests/fleet/test_shrunken_fleets.py
+++ b/tests/fleet/test_shrunken_fleets.py
@@ -254,7 +254,7 @@
     machine.run(5.0)
     assert measure_wait_s(machine, job) <= LONGEST_WAIT_S
     machine.run(12.0)
-    assert machine.book.get(job.job_id).outcome is not None
+    assert machine.registry.get(job.job_id).outcome is not None
 
 
 def test_a_gang_with_a_spread_limit_starts_on_as_many_workers_as_are_left():
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -34,7 +34,7 @@
         request_id=request_id,
         trace_parent="00-0-0-00",
         timeout_s=2.0,
-        reuse=reuse,
+        reuse_connection=reuse,
         max_answer_bytes=100,
     )
 
