--- a/measure/routing.py
+++ b/measure/routing.py
@@ -130,7 +130,7 @@
             self._send(request, self._choose(instance))
             return
         queued = QueuedRequest(request, "c", self.now_s, self.now_s + DEADLINE_S)
-        decision = self.dispatchers[instance].offer(queued, 1, self.now_s)
+        decision = self.dispatchers[instance].admit(queued, 1, self.now_s)
         self._apply(decision)
 
     def _apply(self, decision) -> None:
@@ -188,7 +188,7 @@
                     sum(outstanding[name] for outstanding in self.outstanding)
                     - self.outstanding[instance][name]
                 )
-                dispatcher.upstreams.set_remote(name, others, self.now_s)
+                dispatcher.upstreams.set_remote_in_flight(name, others, self.now_s)
             for decision in dispatcher.pump(self.now_s):
                 self._apply(decision)
         if self.open_requests or self.heap:
--- a/src/larkhoist/control/fleet_owner.py
+++ b/src/larkhoist/control/fleet_owner.py
@@ -30,7 +30,7 @@
     StopAnswer,
     WorkerSession,
 )
-from larkhoist.daemon.clock import read_steady_s
+from larkhoist.daemon.clock import read_monotonic_s
 from larkhoist.daemon.logs import log_event
 from larkhoist.daemon.tasks import cancel_tasks
 from larkhoist.fleet.effects import Round, StartTask
@@ -571,4 +571,4 @@
 
 
 def _get_times() -> tuple[float, int]:
-    return read_steady_s(), int(time.time() * 1000)
+    return read_monotonic_s(), int(time.time() * 1000)
--- a/src/larkhoist/control/roster_keeper.py
+++ b/src/larkhoist/control/roster_keeper.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from larkhoist.daemon.clock import read_steady_s
+from larkhoist.daemon.clock import read_monotonic_s
 from larkhoist.ports.fleet import ListedTaskWorker
 from larkhoist.ports.keyed_log import StoredRecord
 
@@ -12,7 +12,7 @@
 
 
 class RosterEntry:
-    """A listed worker and when its entry was read, in steady seconds."""
+    """A listed worker and when its entry was read, in monotonic seconds."""
 
     __slots__ = ("entry", "heard_s")
 
@@ -43,7 +43,7 @@
         if entry is None:
             self.workers.pop(record.key, None)
             return
-        now_s = read_steady_s()
+        now_s = read_monotonic_s()
         self.workers[entry.name] = RosterEntry(entry, now_s)
 
     def list_entries(self) -> list[ListedTaskWorker]:
--- a/src/larkhoist/control/worker_clock.py
+++ b/src/larkhoist/control/worker_clock.py
@@ -1,4 +1,4 @@
-"""Estimate the steady clock of a worker from its last answer."""
+"""Estimate the monotonic clock of a worker from its last answer."""
 
 from dataclasses import dataclass
 
--- a/src/larkhoist/control/worker_session.py
+++ b/src/larkhoist/control/worker_session.py
@@ -8,7 +8,7 @@
 
 from larkhoist.codes import Code
 from larkhoist.control.worker_clock import WorkerClock
-from larkhoist.daemon.clock import read_steady_s
+from larkhoist.daemon.clock import read_monotonic_s
 from larkhoist.daemon.tasks import cancel_tasks
 from larkhoist.fleet.effects import SeenEnds, StartTask, StopTask
 from larkhoist.fleet.incarnation import Incarnation, IncarnationOrder
@@ -283,7 +283,7 @@
         # The worker may have restarted while the call waited for its turn.
         if not self._refresh_token():
             return None
-        now_s = read_steady_s()
+        now_s = read_monotonic_s()
         lease_s = None if self._silent else self._grant_lease(self._name, now_s)
         lease_until_ms = self._get_until_ms(now_s, lease_s)
         wait_ms = self._times.get_wait_ms(lease_s) if waits else 0
@@ -322,7 +322,7 @@
         if not self._refresh_token():
             self._handle_unanswered_call()
             return
-        now_s = read_steady_s()
+        now_s = read_monotonic_s()
         may_renew = with_lease and not self._silent
         lease_s = self._grant_lease(self._name, now_s) if may_renew else None
         lease_until_ms = self._get_until_ms(now_s, lease_s)
@@ -349,7 +349,7 @@
                         return None
                     case IncarnationOrder.LATER:
                         self._begin_incarnation(report.started_ms)
-                now_s = read_steady_s()
+                now_s = read_monotonic_s()
                 self._incarnation.record_answer(report.started_ms, now_s)
                 self._clock.take(report.clock_ms, now_s)
             case Failure(problem):
@@ -370,7 +370,7 @@
 
     def _begin_incarnation(self, started_ms: int) -> None:
         """Discard the clock and the end numbers of the former incarnation."""
-        self._incarnation = Incarnation(started_ms, read_steady_s())
+        self._incarnation = Incarnation(started_ms, read_monotonic_s())
         self._clock = WorkerClock()
         self._acknowledged = 0
         self._to_acknowledge = 0
@@ -404,7 +404,7 @@
                 return
 
     async def _start(self, order: StartTask) -> None:
-        if self._clock.get_age_s(read_steady_s()) > self._times.clock_age_s:
+        if self._clock.get_age_s(read_monotonic_s()) > self._times.clock_age_s:
             # An old estimate of the clock shortens the lease; after 300 s nothing of
             # the lease is left.
             await self._request_clock()
@@ -459,7 +459,7 @@
             return None
         if not self._refresh_token() or token != self._token:
             return None
-        now_s = read_steady_s()
+        now_s = read_monotonic_s()
         # A start also renews the lease of all other tasks on the worker.
         lease_s = self._grant_start(order, now_s)
         if lease_s is None:
@@ -509,7 +509,7 @@
             return _convert_outdated_fencing(result)
         match result:
             case Success(clock_ms):
-                self._clock.take(clock_ms, read_steady_s())
+                self._clock.take(clock_ms, read_monotonic_s())
         return result
 
     def _spawn(self, coroutine) -> None:
--- a/src/larkhoist/daemon/clock.py
+++ b/src/larkhoist/daemon/clock.py
@@ -2,9 +2,9 @@
 
 import time
 
-__all__ = ["read_steady_s"]
+__all__ = ["read_monotonic_s"]
 
 
-def read_steady_s() -> float:
+def read_monotonic_s() -> float:
     """Return the monotonic time in seconds, on the clock that event loops use."""
     return time.monotonic()
--- a/src/larkhoist/daemon/instance.py
+++ b/src/larkhoist/daemon/instance.py
@@ -45,7 +45,7 @@
 BUSY_RETRY_S = 1.0
 FLUSH_TIMEOUT_S = 2.0
 HANDLER_SHUTDOWN_S = 1.0
-LINGER_S = 0.2
+LATE_REQUEST_GRACE_S = 0.2
 
 
 class DaemonInstance:
@@ -160,7 +160,7 @@
         await self._writer.flush(FLUSH_TIMEOUT_S)
         await self._site.stop()
         # Requests on the last accepted connections may only arrive now.
-        await asyncio.sleep(LINGER_S)
+        await asyncio.sleep(LATE_REQUEST_GRACE_S)
         await self._entry.drain(timing.drain_s)
         await self._runner.cleanup()
         await cancel_tasks([self._update_task])
--- a/src/larkhoist/daemon/log_writer.py
+++ b/src/larkhoist/daemon/log_writer.py
@@ -123,7 +123,7 @@
                 backoff_s = min(backoff_s * 2, LONGEST_BACKOFF_S)
 
     async def _append_batch(self, budget: AppendBudget) -> bool:
-        is_new_batch = self._queue.under_way is None
+        is_new_batch = self._queue.in_flight is None
         batch = self._queue.take_batch(int(time.time() * 1000))
         if batch is None:
             self._added.clear()
--- a/src/larkhoist/daemon/slot_table.py
+++ b/src/larkhoist/daemon/slot_table.py
@@ -47,7 +47,9 @@
         """Set the peers' requests in flight and the hall's slot ceilings."""
         for dispatcher in self._dispatchers.values():
             for name in dispatcher.upstreams.names():
-                dispatcher.upstreams.set_remote(name, remote.get(name, 0), now_s)
+                dispatcher.upstreams.set_remote_in_flight(
+                    name, remote.get(name, 0), now_s
+                )
                 if name in ceilings:
                     dispatcher.upstreams.set_ceiling(name, ceilings[name], now_s)
 
@@ -55,7 +57,7 @@
         """Return this instance's requests in flight by upstream."""
         counts: dict[str, int] = {}
         for dispatcher in self._dispatchers.values():
-            counts.update(dispatcher.upstreams.get_own())
+            counts.update(dispatcher.upstreams.get_local_in_flight())
         return counts
 
     def get_address(self, upstream: str) -> str:
@@ -85,8 +87,8 @@
     ) -> SendTo | Refused:
         """Wait for the decision on a request and return a slot or the refusal."""
         dispatcher = self._get_dispatcher(service)
-        dispatcher.retries.note_first()
-        decision = dispatcher.offer(request, share, now_s)
+        dispatcher.retries.add_first_attempt()
+        decision = dispatcher.admit(request, share, now_s)
         if isinstance(decision, Queued):
             return await self._wait(dispatcher, request.request_id)
         return decision
@@ -95,7 +97,7 @@
         self, service: str, tried: frozenset[str], now_s: float
     ) -> str | None:
         """Return another upstream if the retry budget allows it, or None."""
-        return self._get_dispatcher(service).choose_again(tried, now_s)
+        return self._get_dispatcher(service).choose_for_retry(tried, now_s)
 
     def release(
         self, service: str, upstream: str, succeeded: bool, now_s: float
--- a/src/larkhoist/fleet/doubts.py
+++ b/src/larkhoist/fleet/doubts.py
@@ -13,7 +13,7 @@
 
 
 class HallDoubts:
-    """Hold since when halls are in doubt; times are steady seconds."""
+    """Hold since when halls are in doubt; times are monotonic seconds."""
 
     def __init__(self):
         self._silent_at_s: dict[str, dict[str, float]] = {}
--- a/src/larkhoist/fleet/incarnation.py
+++ b/src/larkhoist/fleet/incarnation.py
@@ -19,7 +19,7 @@
     """Hold the start time of a worker's current incarnation.
 
     ``started_ms`` is in Unix milliseconds, 0 if unknown. ``heard_s`` is when its last
-    answer was processed, in steady seconds.
+    answer was processed, in monotonic seconds.
     """
 
     started_ms: int = 0
--- a/src/larkhoist/fleet/late_crashes.py
+++ b/src/larkhoist/fleet/late_crashes.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LostWorker:
-    """Hold what ran on a worker whose lease ended at ``at_s`` (steady seconds)."""
+    """Hold what ran on a worker whose lease ended at ``at_s`` (monotonic seconds)."""
 
     address: str
     started_ms: int
--- a/src/larkhoist/fleet/proofs.py
+++ b/src/larkhoist/fleet/proofs.py
@@ -62,7 +62,7 @@
     """A report doesn't name the attempt.
 
     It was requested at ``asked_s``, later than ``settled_s``, after which no order
-    could begin the attempt; both are steady seconds.
+    could begin the attempt; both are monotonic seconds.
     """
 
     NAME: ClassVar[str] = "absent_from_report"
--- a/src/larkhoist/fleet/scheduler.py
+++ b/src/larkhoist/fleet/scheduler.py
@@ -283,7 +283,7 @@
         return [w for w in workers if not w.listed and w.address]
 
     def get_next_due_s(self, now_s: float) -> float:
-        """Return when the next run of a scheduled job is due, in steady seconds."""
+        """Return when the next run of a scheduled job is due, in monotonic seconds."""
         due = [
             phase.due_s
             for active, phase in self.state.iter_phases()
--- a/src/larkhoist/fleet/silent_leases.py
+++ b/src/larkhoist/fleet/silent_leases.py
@@ -32,7 +32,7 @@
 
 
 class SilentLeases:
-    """Hold the workers that get no lease; times are steady seconds.
+    """Hold the workers that get no lease; times are monotonic seconds.
 
     The remaining time counts from when it is read, since the clocks of two instances
     can't be compared.
--- a/src/larkhoist/fleet/task.py
+++ b/src/larkhoist/fleet/task.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Task:
-    """Hold one task; times are steady seconds.
+    """Hold one task; times are monotonic seconds.
 
     From ``settled_s`` on, no start order can begin the attempt any more, so a report
     that is requested later shows whether it runs. ``saved_s`` is when it started or
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class Phase:
-    """Hold one step of one run; times are steady seconds.
+    """Hold one step of one run; times are monotonic seconds.
 
     A gang that is ``closing`` starts no tasks until all its members are off their
     workers. ``failed_attempt`` is the last attempt of a gang whose failure was counted.
--- a/src/larkhoist/fleet/worker.py
+++ b/src/larkhoist/fleet/worker.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class FleetWorker:
-    """Hold the room, lease and condition of a worker; times are steady seconds.
+    """Hold the room, lease and condition of a worker; times are monotonic seconds.
 
     ``free`` is the room that is neither used nor held for tasks that wait until others
     have stopped. It is negative if held room is still used by those others. After
--- a/src/larkhoist/log/commit.py
+++ b/src/larkhoist/log/commit.py
@@ -46,14 +46,14 @@
 class CommitQueue:
     """The records of one writer that the log has not confirmed yet.
 
-    ``under_way`` is the batch being appended, ``sequence`` the number of the last
+    ``in_flight`` is the batch being appended, ``sequence`` the number of the last
     batch made.
     """
 
     writer: str
     max_waiting: int = 10_000
     waiting: deque[Record] = field(default_factory=deque)
-    under_way: Batch | None = None
+    in_flight: Batch | None = None
     sequence: int = 0
 
     def add(self, record: Record) -> bool:
@@ -68,16 +68,16 @@
 
         Returns None if nothing waits.
         """
-        if self.under_way is not None:
-            return self.under_way
+        if self.in_flight is not None:
+            return self.in_flight
         if not self.waiting:
             return None
         count = min(len(self.waiting), MAX_BATCH_RECORDS)
         records = tuple(self.waiting.popleft() for _ in range(count))
         self.sequence += 1
-        self.under_way = Batch(self.writer, self.sequence, now_ms, records)
-        return self.under_way
+        self.in_flight = Batch(self.writer, self.sequence, now_ms, records)
+        return self.in_flight
 
     def settle(self) -> None:
         """Record that the log has stored the batch under way."""
-        self.under_way = None
+        self.in_flight = None
--- a/src/larkhoist/ports/fleet.py
+++ b/src/larkhoist/ports/fleet.py
@@ -74,7 +74,7 @@
     """Entry of the platform's list for one incarnation of a worker.
 
     ``remaining_s`` is the minimum time in seconds that a leaving worker remains.
-    ``clock_ms`` is the worker's steady clock when it wrote the entry. ``started_ms``
+    ``clock_ms`` is the worker's monotonic clock when it wrote the entry. ``started_ms``
     is its start time in Unix milliseconds, 0 if unknown.
     """
 
--- a/src/larkhoist/ports/task_worker.py
+++ b/src/larkhoist/ports/task_worker.py
@@ -1,8 +1,8 @@
 """Define the interface of the staged-job scheduler to a worker.
 
-A worker runs its tasks under one lease, whose end is a time on the worker's own steady
-clock. It keeps the highest fencing token it has received and refuses lower ones. It
-reports the end of a task until the end is acknowledged.
+A worker runs its tasks under one lease, whose end is a time on the worker's own
+monotonic clock. It keeps the highest fencing token it has received and refuses lower
+ones. It reports the end of a task until the end is acknowledged.
 """
 
 from dataclasses import dataclass
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """Report of a worker; ``clock_ms`` is its steady clock.
+    """Report of a worker; ``clock_ms`` is its monotonic clock.
 
     If ``complete`` is False, the report does not list all ends: a task that it does not
     name may have ended. ``started_ms`` is the start time of the worker in Unix
--- a/src/larkhoist/requests/dispatcher.py
+++ b/src/larkhoist/requests/dispatcher.py
@@ -55,7 +55,7 @@
         self._finish_interval_s: float | None = None
         self._last_finish_s: float | None = None
 
-    def offer(
+    def admit(
         self, request: QueuedRequest, share: int, now_s: float
     ) -> SendTo | Queued | Refused:
         """Decide about a request that has just arrived."""
@@ -70,7 +70,7 @@
         self.queue.push(request, share)
         return Queued(request.request_id)
 
-    def choose_again(self, avoid: frozenset[str], now_s: float) -> str | None:
+    def choose_for_retry(self, avoid: frozenset[str], now_s: float) -> str | None:
         """Return another upstream for a retry within the budget, or None."""
         upstream = self.upstreams.choose(now_s, avoid)
         if upstream is None or not self.retries.try_spend():
--- a/src/larkhoist/requests/retry_budget.py
+++ b/src/larkhoist/requests/retry_budget.py
@@ -13,7 +13,7 @@
     burst: float
     tokens: float
 
-    def note_first(self) -> None:
+    def add_first_attempt(self) -> None:
         """Count a first attempt."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
--- a/src/larkhoist/requests/upstream_set.py
+++ b/src/larkhoist/requests/upstream_set.py
@@ -80,7 +80,7 @@
             self._ejected.pop(name, None)
             self._slow_starting.discard(name)
 
-    def set_remote(self, name: str, count: int, now_s: float) -> None:
+    def set_remote_in_flight(self, name: str, count: int, now_s: float) -> None:
         """Set how many requests from other instances an upstream has in flight."""
         upstream = self._upstreams.get(name)
         if upstream is not None and upstream.remote_in_flight != count:
@@ -98,7 +98,7 @@
         """Return the names of all upstreams."""
         return list(self._upstreams)
 
-    def get_own(self) -> dict[str, int]:
+    def get_local_in_flight(self) -> dict[str, int]:
         """Return this instance's requests in flight by upstream, without zeros.
 
         Removed upstreams are included until their requests have ended.
--- a/tests/broken/no_drain.py
+++ b/tests/broken/no_drain.py
@@ -13,7 +13,7 @@
 EntryTask.drain = drain_nothing
 # Not 0, which aiohttp treats as no limit.
 instance.HANDLER_SHUTDOWN_S = 0.001
-instance.LINGER_S = 0.0
+instance.LATE_REQUEST_GRACE_S = 0.0
 
 if __name__ == "__main__":
     main()
--- a/tests/control/test_worker_session.py
+++ b/tests/control/test_worker_session.py
@@ -17,7 +17,7 @@
     StopAnswer,
     WorkerSession,
 )
-from larkhoist.daemon.clock import read_steady_s
+from larkhoist.daemon.clock import read_monotonic_s
 from larkhoist.fleet.effects import SeenEnds, StartTask, StopTask
 from larkhoist.fleet.incarnation import Incarnation
 from larkhoist.fleet.policy import FleetPolicy
@@ -60,8 +60,8 @@
         get_token,
         QUICK,
         limits or CallLimits(),
-        Incarnation(started_ms, read_steady_s()),
-        clock or WorkerClock(0, read_steady_s()),
+        Incarnation(started_ms, read_monotonic_s()),
+        clock or WorkerClock(0, read_monotonic_s()),
         lambda *_: lease_s,
         grant_start or (lambda *_: lease_s),
         tell,
@@ -119,7 +119,7 @@
 ):
     """Return the first start of a session whose last answer is ``idle_s`` old."""
     session = make_session(
-        worker, clock=WorkerClock(0, read_steady_s() - idle_s), lease_s=lease_s
+        worker, clock=WorkerClock(0, read_monotonic_s() - idle_s), lease_s=lease_s
     )
     session.order_start(ORDER)
     async with asyncio.timeout(10):
@@ -210,7 +210,7 @@
     worker = RecordingWorker(clock_ms=int(idle_s * 1000))
     messages = []
     session = make_session(
-        worker, tell=messages.append, clock=WorkerClock(0, read_steady_s() - idle_s)
+        worker, tell=messages.append, clock=WorkerClock(0, read_monotonic_s() - idle_s)
     )
     for _ in range(3):
         session.order_start(ORDER)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -45,7 +45,7 @@
 
 def test_load_of_other_instances_counts():
     upstreams = make_upstreams(count=2, slots=2)
-    upstreams.set_remote("u0", 2, 0.0)
+    upstreams.set_remote_in_flight("u0", 2, 0.0)
     assert begin_requests(upstreams, 3) == ["u1", "u1", None]
 
 
@@ -61,7 +61,7 @@
     upstreams.set_leaving("u0", 0.0)
     assert set(begin_requests(upstreams, 4)) == {"u1"}
     upstreams.finish("u0", True, 1.0)
-    assert upstreams.get_own() == {"u1": 4}
+    assert upstreams.get_local_in_flight() == {"u1": 4}
 
 
 def test_failing_upstream_is_ejected_and_returns_slowly():
@@ -96,15 +96,15 @@
 
 def test_queued_request_gets_the_slot_that_gets_free():
     dispatcher = make_dispatcher()
-    assert dispatcher.offer(make_request(1), 1, 0.0) == SendTo("r1", "u")
-    assert dispatcher.offer(make_request(2), 1, 0.0) == Queued("r2")
+    assert dispatcher.admit(make_request(1), 1, 0.0) == SendTo("r1", "u")
+    assert dispatcher.admit(make_request(2), 1, 0.0) == Queued("r2")
     assert dispatcher.finish("u", True, 1.0) == [SendTo("r2", "u")]
 
 
 def test_late_request_is_refused_at_its_deadline():
     dispatcher = make_dispatcher()
-    dispatcher.offer(make_request(1), 1, 0.0)
-    dispatcher.offer(make_request(2, deadline_s=2.0), 1, 0.0)
+    dispatcher.admit(make_request(1), 1, 0.0)
+    dispatcher.admit(make_request(2, deadline_s=2.0), 1, 0.0)
     (refused,) = dispatcher.pump(2.0)
     assert isinstance(refused, Refused)
     assert refused.problem.code is Code.DEADLINE_IN_QUEUE
@@ -113,10 +113,10 @@
 def test_request_that_cannot_make_it_is_refused_at_once():
     dispatcher = make_dispatcher()
     for number in range(6):
-        dispatcher.offer(make_request(number, deadline_s=100.0), 1, 0.0)
+        dispatcher.admit(make_request(number, deadline_s=100.0), 1, 0.0)
     for second in range(1, 4):
         dispatcher.finish("u", True, float(second))
-    decision = dispatcher.offer(make_request(9, deadline_s=4.0), 1, 3.5)
+    decision = dispatcher.admit(make_request(9, deadline_s=4.0), 1, 3.5)
     assert isinstance(decision, Refused)
     assert decision.problem.code is Code.DEADLINE_IN_QUEUE
     assert decision.problem.retry_after_s >= 1.0
@@ -131,14 +131,14 @@
 )
 def test_queues_are_bounded(policy, code):
     dispatcher = make_dispatcher(**policy)
-    dispatcher.offer(make_request(1), 1, 0.0)
-    dispatcher.offer(make_request(2), 1, 0.0)
-    decision = dispatcher.offer(make_request(3), 1, 0.0)
+    dispatcher.admit(make_request(1), 1, 0.0)
+    dispatcher.admit(make_request(2), 1, 0.0)
+    decision = dispatcher.admit(make_request(3), 1, 0.0)
     assert decision.problem.code is code
 
 
 def test_request_without_upstreams_is_refused_with_a_time():
-    decision = create_dispatcher(RequestPolicy()).offer(make_request(1), 1, 0.0)
+    decision = create_dispatcher(RequestPolicy()).admit(make_request(1), 1, 0.0)
     assert decision.problem.code is Code.NO_UPSTREAM
     assert decision.problem.retry_after_s > 0
 
@@ -147,15 +147,15 @@
     dispatcher = make_dispatcher(slots=1000, retry_ratio=0.1, retry_burst=3.0)
     granted = 0
     for _ in range(100):
-        dispatcher.retries.note_first()
-        granted += dispatcher.choose_again(frozenset(), 0.0) is not None
+        dispatcher.retries.add_first_attempt()
+        granted += dispatcher.choose_for_retry(frozenset(), 0.0) is not None
     assert granted <= 3 + 100 * 0.1
 
 
 def test_retry_goes_to_another_upstream():
     dispatcher = make_dispatcher()
     dispatcher.upstreams.put("v", 1, 0.0)
-    assert dispatcher.choose_again(frozenset({"u"}), 0.0) == "v"
+    assert dispatcher.choose_for_retry(frozenset({"u"}), 0.0) == "v"
 
 
 def test_customers_are_served_by_their_shares():
@@ -229,13 +229,13 @@
     assert begin_requests(upstreams, 2) == ["u0", "u0"]
     upstreams.remove("u0")
     upstreams.put("u0", 2, 1.0)
-    assert upstreams.get_own() == {"u0": 2}
+    assert upstreams.get_local_in_flight() == {"u0": 2}
     assert begin_requests(upstreams, 1, 1000.0) == [None]
     upstreams.finish("u0", True, 1000.0)
     assert begin_requests(upstreams, 2, 1000.0) == ["u0", None]
     for _ in range(2):
         upstreams.finish("u0", True, 1001.0)
-    assert upstreams.get_own() == {}
+    assert upstreams.get_local_in_flight() == {}
 
 
 def test_requests_that_end_while_their_upstream_is_off_the_list_count_no_more():
@@ -246,10 +246,10 @@
     upstreams.remove("u0")
     upstreams.finish("u0", True, 0.5)
     assert upstreams.names() == []
-    assert upstreams.get_own() == {"u0": 1}
+    assert upstreams.get_local_in_flight() == {"u0": 1}
     upstreams.remove("u0")
     upstreams.put("u0", 2, 1.0)
-    assert upstreams.get_own() == {"u0": 1}
+    assert upstreams.get_local_in_flight() == {"u0": 1}
     assert begin_requests(upstreams, 2, 1000.0) == ["u0", None]
 
 
@@ -259,8 +259,8 @@
     upstreams.remove("u0")
     upstreams.finish("u0", False, 0.5)
     upstreams.finish("u0", False, 0.5)
-    assert upstreams.get_own() == {}
+    assert upstreams.get_local_in_flight() == {}
     assert upstreams.count_ejected() == 0
     upstreams.put("u0", 2, 1.0)
-    assert upstreams.get_own() == {}
+    assert upstreams.get_local_in_flight() == {}
     assert begin_requests(upstreams, 3, 1000.0) == ["u0", "u0", None]
