--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -32,7 +32,7 @@
     in_force_s: float = 0.0
 
 
-def read_cluster(name: str, whole: bool) -> tuple[ClusterShape, dict]:
+def read_example(name: str, whole: bool) -> tuple[ClusterShape, dict]:
     """Return the shape and the intent of an example cluster.
 
     Unless ``whole``, each hall has only 4 workers and 2 runners.
@@ -139,7 +139,7 @@
             f"job {job['name']}: code {submitted.code}, {submitted.json()['shape']}"
         )
     for job in intent["jobs"]:
-        ended = await cluster.wait_job(first, job["name"])
+        ended = await cluster.wait_for_job_state(first, job["name"])
         code = Code(ended["code"])
         workers = ", ".join(ended["workers"])
         print_line(
@@ -168,7 +168,7 @@
 
 async def run(arguments: argparse.Namespace) -> int:
     """Run the demo and return the exit code."""
-    shape, intent = read_cluster(arguments.cluster, arguments.whole)
+    shape, intent = read_example(arguments.cluster, arguments.whole)
     cluster = create_cluster(shape)
     figures = Figures()
     try:
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -290,7 +290,7 @@
         """Return the URL of a path at a process."""
         return f"http://{self.addresses[name]}{path}"
 
-    async def cut_from_platform(self, *names: str) -> None:
+    async def block_from_platform(self, *names: str) -> None:
         """Block calls of just the named instances to the platform."""
         await self.post("platform", "/cut", list(names))
 
@@ -350,7 +350,9 @@
         """Return the task journal of a hall's workers."""
         return (await self.get(f"{hall}-workers", "/journal")).json()
 
-    async def wait_job(self, name: str, job: str, state: str = "ended") -> dict:
+    async def wait_for_job_state(
+        self, name: str, job: str, state: str = "ended"
+    ) -> dict:
         """Wait until a job is in a state and return it."""
         job_status: dict = {}
 
--- a/lab/progress.py
+++ b/lab/progress.py
@@ -11,7 +11,7 @@
 from larkhoist.jobs.spec import StepSpec
 from larkhoist.ports.fleet import Resources
 
-__all__ = ["IdleStep", "StandStill", "StandStills", "WorkerRoom", "could_run"]
+__all__ = ["IdleStep", "Stall", "StallDetector", "WorkerRoom", "could_run"]
 
 StepKey = tuple[str, int] | tuple[str, int, int]
 
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StandStill:
+class Stall:
     """A period in which a step, or one of its long-running tasks, stood still."""
 
     job: str
@@ -76,7 +76,7 @@
         return self.until_s - self.since_s
 
 
-class StandStills:
+class StallDetector:
     """Tracks steps that stand still; ``found`` holds those over ``longest_s``.
 
     ``any_rack`` also counts room in racks other than those that a step asked for.
@@ -94,7 +94,7 @@
         self._any_rack = any_rack
         self._however_full = however_full
         self._since_s: dict[StepKey, float] = {}
-        self.found: dict[StepKey, StandStill] = {}
+        self.found: dict[StepKey, Stall] = {}
 
     @property
     def longest_s(self) -> float:
@@ -112,7 +112,7 @@
         for key, one in standing.items():
             since_s = self._since_s.setdefault(key, now_s)
             if now_s - since_s > self._longest_s:
-                still = StandStill(one.job, one.step, since_s, now_s, one.task)
+                still = Stall(one.job, one.step, since_s, now_s, one.task)
                 self._keep_longest(key, still)
 
     def _could_run(self, idle: IdleStep, snapshot: "_RoomSnapshot") -> bool:
@@ -120,7 +120,7 @@
             return snapshot.has_room_twice(idle)
         return snapshot.could_run(idle, any_rack=self._any_rack)
 
-    def _keep_longest(self, key: StepKey, still: StandStill) -> None:
+    def _keep_longest(self, key: StepKey, still: Stall) -> None:
         known = self.found.get(key)
         if known is None or still.lasted_s > known.lasted_s:
             self.found[key] = still
--- a/lab/replay.py
+++ b/lab/replay.py
@@ -7,7 +7,7 @@
 from lab.arrivals import SERVICE, Arrival, draw_arrivals, get_rack, get_shares
 from lab.events import Events
 from lab.kinds import DayPlan
-from lab.progress import StandStills
+from lab.progress import StallDetector
 from lab.result import DayResult, score_day
 from lab.watch import DayWatch
 from lab.workers import (
@@ -115,8 +115,8 @@
         self._plan = plan
         self._events = Events()
         self._workers = SimulatedWorkers(plan, seed, self._events, self._note_end)
-        self._stills = StandStills()
-        self._full_stills = StandStills(however_full=True)
+        self._stills = StallDetector()
+        self._full_stills = StallDetector(however_full=True)
         watched = (self._stills, self._full_stills)
         self._watch = DayWatch(self._workers, watched)
         self._scheduler = create_fleet_scheduler(policy, 0.0)
--- a/lab/result.py
+++ b/lab/result.py
@@ -5,7 +5,7 @@
 
 from lab.arrivals import Arrival
 from lab.kinds import DayPlan
-from lab.progress import StandStills
+from lab.progress import StallDetector
 from lab.workers import Waste
 
 __all__ = ["DayResult", "ScoreTotals"]
@@ -55,9 +55,9 @@
     decisions: int = 0
     took_s: float = 0.0
     longest_s: float = 0.0
-    stills: StandStills = field(default_factory=StandStills)
-    full_stills: StandStills = field(
-        default_factory=lambda: StandStills(however_full=True)
+    stills: StallDetector = field(default_factory=StallDetector)
+    full_stills: StallDetector = field(
+        default_factory=lambda: StallDetector(however_full=True)
     )
 
     @property
--- a/lab/watch.py
+++ b/lab/watch.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Iterator
 
 from lab.arrivals import Arrival
-from lab.progress import IdleStep, StandStills, WorkerRoom
+from lab.progress import IdleStep, StallDetector, WorkerRoom
 from lab.workers import SimulatedWorkers
 from larkhoist.ports.fleet import ListedTaskWorker, Resources
 from larkhoist.ports.task_worker import EndedTask, EndKind
@@ -18,7 +18,7 @@
     A job is open from its arrival until it is cancelled, given up or shown as ended.
     """
 
-    def __init__(self, workers: SimulatedWorkers, watched: Iterable[StandStills]):
+    def __init__(self, workers: SimulatedWorkers, watched: Iterable[StallDetector]):
         self._workers = workers
         self._watched = list(watched)
         self._open: dict[str, Arrival] = {}
--- a/measure/plain_scheduler.py
+++ b/measure/baseline_placement.py
@@ -11,10 +11,10 @@
 from larkhoist.placement.blocks import count_blocks, get_level, make_mask
 from larkhoist.placement.index import FreeIndex, MemberPlace
 
-__all__ = ["Fit", "find_plainly"]
+__all__ = ["BaselineFit", "find_baseline_places"]
 
 
-class Fit(Enum):
+class BaselineFit(Enum):
     """Baseline methods to choose workers; the values are printed in reports."""
 
     FIRST = "first fit"
@@ -22,7 +22,9 @@
     SPREAD = "spread"
 
 
-def find_plainly(index: FreeIndex, spec: JobSpec, fit: Fit) -> list[MemberPlace] | None:
+def find_baseline_places(
+    index: FreeIndex, spec: JobSpec, fit: BaselineFit
+) -> list[MemberPlace] | None:
     """Return places for a gang according to ``fit``, or None if it does not fit."""
     if spec.adjacency == "worker":
         return _find_in_one_worker(index, spec, fit)
@@ -69,13 +71,13 @@
     return places
 
 
-def _choose(items: list, key: Callable, fit: Fit):
+def _choose(items: list, key: Callable, fit: BaselineFit):
     match fit:
-        case Fit.FIRST:
+        case BaselineFit.FIRST:
             return items[0]
-        case Fit.BEST:
+        case BaselineFit.BEST:
             return min(items, key=key)
-        case Fit.SPREAD:
+        case BaselineFit.SPREAD:
             return max(items, key=key)
 
 
--- a/measure/placement.py
+++ b/measure/placement.py
@@ -4,7 +4,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from larkhoist.scheduling.policy import SchedulingPolicy
-from measure.plain_scheduler import Fit
+from measure.baseline_placement import BaselineFit
 from measure.replay import ReplayResult, replay_baseline, replay_hall_scheduler
 from measure.workload import make_workload
 
@@ -38,7 +38,7 @@
 
 
 def _run_all(seeds, policy, load, end_s):
-    methods = ["ours", *Fit]
+    methods = ["ours", *BaselineFit]
     tasks = [
         (method, seed, policy, load, end_s) for method in methods for seed in seeds
     ]
--- a/measure/replay.py
+++ b/measure/replay.py
@@ -17,7 +17,7 @@
 from larkhoist.scheduling.hall import create_hall_scheduler
 from larkhoist.scheduling.policy import SchedulingPolicy
 from larkhoist.scheduling.quarantine import FAILURES_TO_QUARANTINE
-from measure.plain_scheduler import Fit, find_plainly
+from measure.baseline_placement import BaselineFit, find_baseline_places
 from measure.workload import HALL, Arrival, Workload
 
 __all__ = [
@@ -251,7 +251,7 @@
 
 
 def replay_baseline(
-    workload: Workload, workers: int, accelerators: int, per_rack: int, fit: Fit
+    workload: Workload, workers: int, accelerators: int, per_rack: int, fit: BaselineFit
 ) -> ReplayResult:
     """Replay ``workload`` in the order of arrival, with workers chosen by ``fit``."""
     index = FreeIndex()
@@ -304,7 +304,7 @@
         shape = (spec.members, spec.accelerators, spec.adjacency)
         if shape in failed_shapes:
             continue
-        places = find_plainly(index, spec, fit)
+        places = find_baseline_places(index, spec, fit)
         if places is None:
             failed_shapes.add(shape)
             continue
--- a/measure/urgent.py
+++ b/measure/urgent.py
@@ -50,7 +50,7 @@
         job = _make_job(f"fill-{number}", "others", 1, 4, "run_s=600")
         await cluster.post(name, "/v1/jobs", job)
     for number in range(WORKERS * 2):
-        await cluster.wait_job(name, f"fill-{number}", "placed")
+        await cluster.wait_for_job_state(name, f"fill-{number}", "placed")
 
 
 async def _time_start(cluster: Cluster, number: int, **kind) -> float:
@@ -61,9 +61,9 @@
     began_s = time.monotonic()
     submitted = await cluster.post(name, "/v1/jobs", job)
     assert submitted.code == Code.ACCEPTED
-    await cluster.wait_job(name, job_id, "placed")
+    await cluster.wait_for_job_state(name, job_id, "placed")
     taken_s = time.monotonic() - began_s
-    await cluster.wait_job(name, job_id)
+    await cluster.wait_for_job_state(name, job_id)
     return taken_s
 
 
--- a/tests/fleet/disturbances.py
+++ b/tests/fleet/disturbances.py
@@ -5,7 +5,7 @@
 from tests.fleet.machine import ORDER_DELAYS_S, FleetMachine
 from tests.fleet.sim_worker import SimWorker
 
-__all__ = ["Disturber"]
+__all__ = ["FaultInjector"]
 
 LEAVE_EXTRAS_S = (0.0, 0.2, 1.0, 4.0, 10.0)
 """Times for which a worker may serve beyond its minimum notice."""
@@ -19,23 +19,24 @@
 """Times for which the entry of a live worker may be missing."""
 
 
-class Disturber:
+class FaultInjector:
     """A random source of faults that may overlap within a lease.
 
-    ``often`` is the percentage of steps that inject a fault. With ``restart_rng``
-    workers crash more often, and most of them restart under the same name.
+    ``fault_percent`` is the percentage of steps that inject a fault. With
+    ``restart_rng`` workers crash more often, and most of them restart under the same
+    name.
     """
 
     def __init__(
         self,
         machine: FleetMachine,
         rng: random.Random,
-        often: float,
+        fault_percent: float,
         restart_rng: random.Random | None = None,
     ):
         self._machine = machine
         self._rng = rng
-        self._often = often
+        self._fault_percent = fault_percent
         self._restart_rng = restart_rng
         self._listed_again_s: dict[str, float] = {}
         self._unlisted_s: dict[str, float] = {}
@@ -48,17 +49,17 @@
         self._expire_crashed_entries()
         self._change_entries()
         self._revive_addresses()
-        if self._rng.random() * 100 < self._often:
+        if self._rng.random() * 100 < self._fault_percent:
             self._inject_fault()
             self._crash_several()
 
     def end(self) -> None:
         """Stop injecting faults; leaving workers end, dead ones are replaced."""
         machine = self._machine
-        self._often = 0.0
+        self._fault_percent = 0.0
         machine.cut.clear()
         machine.order_delay_s.clear()
-        machine.lose_answers = machine.slow_answer_share = machine.list_lag_s = 0.0
+        machine.lost_answer_share = machine.slow_answer_share = machine.list_lag_s = 0.0
         machine.log_down = False
         self._unlisted_s = {}
         for worker in list(machine.world.workers.values()):
@@ -68,7 +69,7 @@
         self._listed_again_s = {}
         machine.replace_owner()
 
-    def remove_place(self, address: str, *, crashes: bool) -> None:
+    def remove_address(self, address: str, *, crashes: bool) -> None:
         """Have the worker at an address leave or crash, with no successor there."""
         self._removed_addresses.add(address)
         worker = self._machine.world.find_at(address)
@@ -97,7 +98,7 @@
             case 21 | 22:
                 machine.order_delay_s.clear()
             case 7 | 8:
-                machine.lose_answers = rng.choice((0.0, 0.0, 0.1, 0.5))
+                machine.lost_answer_share = rng.choice((0.0, 0.0, 0.1, 0.5))
             case 9:
                 machine.slow_answer_share = rng.choice((0.0, 0.2, 0.8))
             case 10:
@@ -138,9 +139,11 @@
     def _leave(self, worker: SimWorker) -> None:
         """Have a worker leave; its entry may disappear before the worker ends."""
         rng, now_s = self._rng, self._machine.now_s
-        says = rng.random() < 0.7
-        self._machine.world.leave(worker, now_s, rng.choice(LEAVE_EXTRAS_S), says=says)
-        if says and rng.random() < 0.5:
+        announced = rng.random() < 0.7
+        self._machine.world.leave(
+            worker, now_s, rng.choice(LEAVE_EXTRAS_S), announced=announced
+        )
+        if announced and rng.random() < 0.5:
             unlisted_s = rng.uniform(now_s, worker.ends_s)
             self._unlisted_s[worker.name] = unlisted_s
             if rng.random() < 0.5:
@@ -201,7 +204,7 @@
     def _restart_or_replace(self, former: SimWorker) -> None:
         machine, rng = self._machine, self._restart_rng
         if rng is None or rng.random() < RENAMED_SHARE:
-            machine.world.begin_life(former)
+            machine.world.start_replacement(former)
             return
         # The restarted worker renews its entry, so a pending lapse is cancelled.
         for times in (self._unlisted_s, self._listed_again_s):
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -227,7 +227,7 @@
         self.offset = 0
         self.cancelled_s: dict[str, float] = {}
         self.cut: set[str] = set()
-        self.lose_answers = 0.0
+        self.lost_answer_share = 0.0
         self.slow_answer_share = 0.0
         self.order_delay_s: dict[str, float] = {}
         self.log_down = False
@@ -729,7 +729,7 @@
         if session.worker in self.cut or session.address in self.cut:
             return None
         delay_s = self.order_delay_s.get(session.address)
-        if delay_s is None and self.random.random() < self.lose_answers:
+        if delay_s is None and self.random.random() < self.lost_answer_share:
             delay_s = self.random.choice(ORDER_DELAYS_S)
         if delay_s is not None:
             due_s = self.now_s + delay_s
@@ -829,7 +829,7 @@
 
     def _record_unreachable(self) -> None:
         """Record when each worker was last unreachable, for checks of time limits."""
-        all_unreachable = self.log_down or self.lose_answers or self.list_lag_s
+        all_unreachable = self.log_down or self.lost_answer_share or self.list_lag_s
         late = {order.worker for order in self.late}
         for name, worker in self.world.workers.items():
             is_unreachable = name in self.cut or worker.address in self.cut
--- a/tests/fleet/progress.py
+++ b/tests/fleet/progress.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lab.progress import IdleStep, StandStills, WorkerRoom
+from lab.progress import IdleStep, StallDetector, WorkerRoom
 from larkhoist.ports.fleet import Resources
 from larkhoist.ports.task_worker import EndKind
 from tests.fleet.machine import FleetMachine
 from tests.fleet.sim_worker import Run, SimWorker
 
-__all__ = ["CalmLook", "look_for_stand_stills", "run_and_look"]
+__all__ = ["CalmPeriodCheck", "find_stalls", "run_and_find_stalls"]
 
 CALM_S = 4.0
 """Time without events after which work must not stand still; a requirement."""
@@ -19,15 +19,15 @@
 
 
 @dataclass(slots=True)
-class CalmLook:
+class CalmPeriodCheck:
     """A check for work that stands still in calm periods.
 
     A calm period starts ``CALM_S`` after the last worker that ended or came up, entry
     that disappeared or change of owner. Room in any rack counts, at any load.
     """
 
-    stills: StandStills = field(
-        default_factory=lambda: StandStills(any_rack=True, however_full=True)
+    stills: StallDetector = field(
+        default_factory=lambda: StallDetector(any_rack=True, however_full=True)
     )
     calm_since_s: float = float("-inf")
     _term: int = 0
@@ -41,7 +41,7 @@
         if machine.now_s < self.calm_since_s + CALM_S:
             self.stills.look(machine.now_s, (), ())
         else:
-            look_for_stand_stills(machine, self.stills)
+            find_stalls(machine, self.stills)
 
     def _has_changed(self, machine: FleetMachine) -> bool:
         before = self._term, self._up
@@ -60,17 +60,17 @@
         return frozenset(worker.name for worker in workers if predicate(worker))
 
 
-def run_and_look(machine: FleetMachine, seconds: float) -> StandStills:
+def run_and_find_stalls(machine: FleetMachine, seconds: float) -> StallDetector:
     """Advance time, and return what stood still meanwhile."""
-    stills = StandStills(any_rack=True)
+    stills = StallDetector(any_rack=True)
     until_s = machine.now_s + seconds
     while machine.now_s < until_s:
         machine.step()
-        look_for_stand_stills(machine, stills)
+        find_stalls(machine, stills)
     return stills
 
 
-def look_for_stand_stills(machine: FleetMachine, stills: StandStills) -> None:
+def find_stalls(machine: FleetMachine, stills: StallDetector) -> None:
     """Check the jobs that have not ended against the free room of all workers."""
     workers = machine.world.workers.values()
     rooms = [_get_room(worker) for worker in workers if _is_usable(machine, worker)]
--- a/tests/fleet/sim_worker.py
+++ b/tests/fleet/sim_worker.py
@@ -268,19 +268,19 @@
             self._advance_group(runs, now_s)
 
     def leave(
-        self, worker: SimWorker, now_s: float, extra_s: float = 0.0, *, says: bool
+        self, worker: SimWorker, now_s: float, extra_s: float = 0.0, *, announced: bool
     ) -> None:
         """Have a worker end after ``LEAVE_NOTICE_S`` and ``extra_s`` more.
 
-        A worker that announces (``says``) its leaving stays on the list.
+        A worker that announces (``announced``) its leaving stays on the list.
         """
         worker.serves_until_s = min(worker.serves_until_s, now_s + LEAVE_NOTICE_S)
         worker.ends_s = min(worker.ends_s, now_s + LEAVE_NOTICE_S + extra_s)
-        worker.leaving = worker.leaving or says
-        if not says:
+        worker.leaving = worker.leaving or announced
+        if not announced:
             worker.listed = False
 
-    def begin_life(self, former: SimWorker) -> SimWorker:
+    def start_replacement(self, former: SimWorker) -> SimWorker:
         """Start a worker under a new name at the address of one that has ended."""
         assert former.dead, f"{former.name} is still up"
         incarnations = sum(w.address == former.address for w in self.workers.values())
--- a/tests/fleet/test_cordons.py
+++ b/tests/fleet/test_cordons.py
@@ -6,14 +6,14 @@
 import pytest
 from msgspec.structs import replace
 
-from lab.progress import StandStills
+from lab.progress import StallDetector
 from larkhoist.jobs.spec import StepSpec
 from tests.fleet.cases import make_job, make_machine, put_in_halls
 from tests.fleet.checks import check_history, check_outcomes, check_running
 from tests.fleet.cordons import CordonCheck, RandomCordons
-from tests.fleet.disturbances import Disturber
+from tests.fleet.disturbances import FaultInjector
 from tests.fleet.machine import FleetMachine
-from tests.fleet.progress import look_for_stand_stills
+from tests.fleet.progress import find_stalls
 from tests.fleet.test_interleavings import create_play
 
 SEEDS = 40
@@ -137,27 +137,27 @@
     machine, rng, waiting = create_play(seed)
     random_cordons = RandomCordons(machine, put_in_halls(machine), seed)
     check = CordonCheck(machine)
-    disturber = Disturber(machine, rng, rng.choice((0.0, 5.0, 10.0)))
+    injector = FaultInjector(machine, rng, rng.choice((0.0, 5.0, 10.0)))
     until_s = machine.now_s + FAULTY_S
     while machine.now_s < until_s:
         if waiting and rng.random() < 0.1:
             machine.submit(waiting.pop())
         random_cordons.step()
-        disturber.step()
+        injector.step()
         machine.step()
         check_running(machine)
         check.look()
     random_cordons.end()
-    disturber.end()
+    injector.end()
     for job in waiting:
         machine.submit(job)
     machine.run(SETTLE_S + machine.world.lease_s)
-    stills = StandStills(any_rack=True)
+    stills = StallDetector(any_rack=True)
     until_s = machine.now_s + RECOVERY_S
     while machine.now_s < until_s:
-        disturber.step()
+        injector.step()
         machine.step()
-        look_for_stand_stills(machine, stills)
+        find_stalls(machine, stills)
     check_history(machine)
     check_outcomes(machine)
     assert stills.found == {}
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -31,7 +31,7 @@
 from larkhoist.jobs.spec import StagedJob, StepSpec
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.checks import check_given_up, check_history
-from tests.fleet.disturbances import Disturber
+from tests.fleet.disturbances import FaultInjector
 from tests.fleet.machine import FleetMachine
 
 ONE = StepSpec(count=1, cpu_milli=1000, memory_mb=100, accelerators=1, estimate_ms=900)
@@ -52,11 +52,11 @@
     machine: FleetMachine, seconds: float, owner_every_s: float = 1e9
 ) -> None:
     """Let time pass, replace crashed workers and change owners at an interval."""
-    disturber = Disturber(machine, random.Random(0), often=0.0)
+    injector = FaultInjector(machine, random.Random(0), fault_percent=0.0)
     next_change_s = machine.now_s + owner_every_s
     end_s = machine.now_s + seconds
     while machine.now_s < end_s:
-        disturber.step()
+        injector.step()
         machine.step()
         if machine.now_s >= next_change_s:
             machine.replace_owner()
@@ -193,7 +193,7 @@
                     world.restart(worker, machine.now_s)
                 else:
                     worker.listed = False
-                    world.begin_life(worker)
+                    world.start_replacement(worker)
     check_history(machine)
     assert get_code(machine, job) == Code.JOB_FAILED
     assert count_starts(machine, job) <= 4
@@ -217,7 +217,7 @@
     worker = machine.world.workers[name]
     machine.world.kill(worker, machine.now_s)
     worker.listed = False
-    machine.world.begin_life(worker)
+    machine.world.start_replacement(worker)
 
 
 def find_busy_worker(machine: FleetMachine) -> str:
@@ -231,9 +231,9 @@
     for _ in range(8):
         machine.run(12)
         worker = machine.world.workers[find_busy_worker(machine)]
-        machine.world.leave(worker, machine.now_s, says=True)
+        machine.world.leave(worker, machine.now_s, announced=True)
         machine.run(2.5)
-        machine.world.begin_life(worker)
+        machine.world.start_replacement(worker)
     machine.run(5)
     assert machine.registry.get(job.job_id).outcome is None
     assert find_busy_worker(machine)
--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from lab.progress import StandStills
+from lab.progress import StallDetector
 from larkhoist.jobs.spec import StagedJob, StepSpec
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.checks import (
@@ -20,9 +20,9 @@
     check_outcomes,
     check_running,
 )
-from tests.fleet.disturbances import Disturber
+from tests.fleet.disturbances import FaultInjector
 from tests.fleet.machine import FleetMachine
-from tests.fleet.progress import CalmLook, look_for_stand_stills
+from tests.fleet.progress import CalmPeriodCheck, find_stalls
 from tests.fleet.sim_worker import SimWorker
 from tests.fleet.test_interleavings import (
     DEPLOYED_CUT_OFF_RENEWAL_S,
@@ -63,9 +63,9 @@
     unsubmitted: list[StagedJob]
     work_s: float
     departures: list[tuple[float, str]]
-    disturber: Disturber
-    stills: StandStills = field(default_factory=lambda: StandStills(any_rack=True))
-    stable_check: CalmLook = field(default_factory=CalmLook)
+    injector: FaultInjector
+    stills: StallDetector = field(default_factory=lambda: StallDetector(any_rack=True))
+    stable_check: CalmPeriodCheck = field(default_factory=CalmPeriodCheck)
 
     def run(self, until_s: float, *, settled: bool = False) -> None:
         """Submit jobs and remove workers; if ``settled``, look for stalls as well."""
@@ -76,12 +76,12 @@
             while self.departures and self.departures[0][0] <= machine.now_s:
                 _, address = self.departures.pop(0)
                 crashes = self.rng.random() < CRASHED_SHARE
-                self.disturber.remove_place(address, crashes=crashes)
-            self.disturber.step()
+                self.injector.remove_address(address, crashes=crashes)
+            self.injector.step()
             machine.step()
             check_running(machine)
             if settled:
-                look_for_stand_stills(machine, self.stills)
+                find_stalls(machine, self.stills)
                 self.stable_check.look(machine)
 
 
@@ -129,7 +129,7 @@
     simulation = create_simulation(seed, often)
     machine = simulation.machine
     simulation.run(machine.now_s + DISTURBED_S)
-    simulation.disturber.end()
+    simulation.injector.end()
     simulation.run(machine.now_s + SETTLE_S)
     simulation.run(machine.now_s + OBSERVED_S, settled=True)
     return simulation
@@ -220,9 +220,9 @@
         (machine.now_s + rng.uniform(0.0, DISTURBED_S), f"w{number}")
         for number in leaving
     )
-    disturber = Disturber(machine, random.Random(f"disturbed {seed}"), often)
+    injector = FaultInjector(machine, random.Random(f"disturbed {seed}"), often)
     machine.run(2.0)
-    return DepartureSimulation(machine, rng, list(jobs), work_s, departures, disturber)
+    return DepartureSimulation(machine, rng, list(jobs), work_s, departures, injector)
 
 
 def _draw_job(rng: random.Random, number: int, racks: list[str]) -> StagedJob:
--- a/tests/fleet/test_exclusion.py
+++ b/tests/fleet/test_exclusion.py
@@ -5,7 +5,7 @@
 from larkhoist.fleet.exclusion import find_exclusion
 from larkhoist.jobs.spec import StepSpec
 from tests.fleet.cases import make_job, make_machine, put_in_halls
-from tests.fleet.disturbances import Disturber
+from tests.fleet.disturbances import FaultInjector
 from tests.fleet.machine import FleetMachine
 from tests.fleet.test_interleavings import create_play
 
@@ -14,12 +14,12 @@
 def test_a_worker_has_a_reason_if_and_only_if_it_is_not_usable(seed):
     machine, rng, unsubmitted = create_play(seed)
     put_in_halls(machine)
-    disturber = Disturber(machine, rng, 20.0)
+    injector = FaultInjector(machine, rng, 20.0)
     reasons = set()
     for _ in range(300):
         if unsubmitted and rng.random() < 0.1:
             machine.submit(unsubmitted.pop())
-        disturber.step()
+        injector.step()
         machine.step()
         state = machine.owner.scheduler.state
         for worker in state.workers.values():
@@ -33,7 +33,9 @@
     job = make_job(1, StepSpec(count=2, accelerators=8))
     machine = make_machine(2, (job,), work_s=60.0)
     machine.run(1.0)
-    machine.world.leave(machine.world.workers["w1"], machine.now_s, 60.0, says=True)
+    machine.world.leave(
+        machine.world.workers["w1"], machine.now_s, 60.0, announced=True
+    )
     machine.run(1.0)
     machine.submit(job)
     machine.run(5.0)
--- a/tests/fleet/test_interleavings.py
+++ b/tests/fleet/test_interleavings.py
@@ -12,7 +12,7 @@
     check_outcomes,
     check_running,
 )
-from tests.fleet.disturbances import Disturber
+from tests.fleet.disturbances import FaultInjector
 from tests.fleet.machine import PREDECESSOR_S, FleetMachine
 
 SEEDS = 100
@@ -48,20 +48,20 @@
         _choose_crashing_tasks(machine, seed, waiting)
     restart_rng = random.Random(f"restarting {seed}") if restarting else None
     often = rng.choice((5.0, 10.0, 30.0))
-    disturber = Disturber(machine, rng, often, restart_rng)
+    injector = FaultInjector(machine, rng, often, restart_rng)
     until_s = machine.now_s + FAULTY_S
     while machine.now_s < until_s:
         if waiting and rng.random() < 0.1:
             machine.submit(waiting.pop())
-        disturber.step()
+        injector.step()
         machine.step()
         check_running(machine)
-    disturber.end()
+    injector.end()
     for job in waiting:
         machine.submit(job)
     until_s = machine.now_s + RECOVERY_S
     while machine.now_s < until_s:
-        disturber.step()
+        injector.step()
         machine.step()
         check_running(machine)
     check_history(machine)
--- a/tests/fleet/test_leeway.py
+++ b/tests/fleet/test_leeway.py
@@ -11,7 +11,7 @@
 from larkhoist.ports.task_worker import EndKind
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.machine import FleetMachine
-from tests.fleet.progress import run_and_look
+from tests.fleet.progress import run_and_find_stalls
 
 NARROW = StepSpec(count=1, cpu_milli=2800, memory_mb=4000, accelerators=1)
 HEAVY = StepSpec(
@@ -62,7 +62,7 @@
 
     machine.world._refuse = refuse_in_data_rack
     machine.submit(job)
-    assert run_and_look(machine, 6.0).found == {}
+    assert run_and_find_stalls(machine, 6.0).found == {}
     assert list_start_times_s(machine, job)
 
 
@@ -138,7 +138,7 @@
     machine.submit(load)
     machine.run(1.0)
     machine.submit(gang)
-    assert run_and_look(machine, 6.0).found == {}
+    assert run_and_find_stalls(machine, 6.0).found == {}
     assert list_start_times_s(machine, gang)
 
 
--- a/tests/fleet/test_owner_changes.py
+++ b/tests/fleet/test_owner_changes.py
@@ -14,20 +14,22 @@
 import pytest
 from msgspec.structs import replace
 
-from lab.progress import StandStills
+from lab.progress import StallDetector
 from larkhoist.fleet.handed_on_waits import find_wait_start_ms
 from larkhoist.jobs.records import PhaseId, PhaseProgress, TaskProgress
 from larkhoist.jobs.registry import JobEntry
 from larkhoist.jobs.spec import StepSpec
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.machine import FleetMachine
-from tests.fleet.progress import look_for_stand_stills
+from tests.fleet.progress import find_stalls
 from tests.fleet.test_progress import CPU_HEAVY, NARROW, has_begun, make_loaded_machine
 
 
-def change_owners(machine: FleetMachine, term_s: float, seconds: float) -> StandStills:
+def change_owners(
+    machine: FleetMachine, term_s: float, seconds: float
+) -> StallDetector:
     """Replace the owner every ``term_s``; return what stood still meanwhile."""
-    stills = StandStills(any_rack=True)
+    stills = StallDetector(any_rack=True)
     until_s = machine.now_s + seconds
     changed_s = machine.now_s
     while machine.now_s < until_s:
@@ -35,7 +37,7 @@
             changed_s = machine.now_s
             machine.replace_owner()
         machine.step()
-        look_for_stand_stills(machine, stills)
+        find_stalls(machine, stills)
     return stills
 
 
@@ -77,7 +79,7 @@
     machine = make_machine(6, (*loads, *small), guarantees, seed, work_s=20.0)
     heavy = {job.job_id for job in loads}
     machine.world.work_s_of = lambda task: 20.0 if task.split(".")[0] in heavy else 1.5
-    waiting, stills = list(small), StandStills(any_rack=True)
+    waiting, stills = list(small), StallDetector(any_rack=True)
     started_s = machine.now_s
     next_s = started_s + 1.0
     while machine.now_s < started_s + 50.0:
@@ -89,7 +91,7 @@
             next_s = machine.now_s + rng.uniform(0.9, 1.1)
             machine.replace_owner()
         machine.step()
-        look_for_stand_stills(machine, stills)
+        find_stalls(machine, stills)
     assert stills.found == {}
 
 
--- a/tests/fleet/test_progress.py
+++ b/tests/fleet/test_progress.py
@@ -21,12 +21,12 @@
 
 import pytest
 
-from lab.progress import StandStills
+from lab.progress import StallDetector
 from larkhoist.jobs.spec import StagedJob, StepSpec
 from tests.fleet.cases import make_job, make_machine
-from tests.fleet.disturbances import Disturber
+from tests.fleet.disturbances import FaultInjector
 from tests.fleet.machine import FleetMachine
-from tests.fleet.progress import CalmLook, look_for_stand_stills, run_and_look
+from tests.fleet.progress import CalmPeriodCheck, find_stalls, run_and_find_stalls
 from tests.fleet.test_interleavings import (
     DEPLOYED_CUT_OFF_RENEWAL_S,
     DEPLOYED_LEASE_S,
@@ -53,7 +53,7 @@
 def test_no_hold_keeps_work_from_room_that_nobody_claims():
     machine, job = make_loaded_machine()
     machine.submit(job)
-    assert run_and_look(machine, 10.0).found == {}
+    assert run_and_find_stalls(machine, 10.0).found == {}
 
 
 def test_a_new_owner_does_not_begin_the_wait_anew():
@@ -93,7 +93,7 @@
     machine.submit(load)
     machine.run(1.0)
     machine.submit(job)
-    assert run_and_look(machine, 12.0).found == {}
+    assert run_and_find_stalls(machine, 12.0).found == {}
 
 
 def test_work_goes_to_workers_in_quarantine_where_no_other_has_room():
@@ -108,7 +108,7 @@
     machine.submit(load)
     machine.run(8.0)
     machine.submit(job)
-    assert run_and_look(machine, 10.0).found == {}
+    assert run_and_find_stalls(machine, 10.0).found == {}
     assert has_begun(machine, job)
 
 
@@ -161,25 +161,23 @@
     return any(run.task.startswith(job.job_id) for run in machine.world.history)
 
 
-def play(seed: int, often: float) -> StandStills:
+def play(seed: int, often: float) -> StallDetector:
     """Simulate random jobs and faults; return what stands still after the faults.
 
     ``often`` is the percentage of steps that inject a fault.
     """
     played = _run_with_faults(often, *create_play(seed))
     played.machine.run(SETTLE_S)
-    stills = StandStills(any_rack=True)
-    _run_and_check(
-        played, CHECKED_S, lambda machine: look_for_stand_stills(machine, stills)
-    )
+    stills = StallDetector(any_rack=True)
+    _run_and_check(played, CHECKED_S, lambda machine: find_stalls(machine, stills))
     return stills
 
 
-def play_calm(seed: int, often: float) -> StandStills:
+def play_calm(seed: int, often: float) -> StallDetector:
     """Simulate the same with the deployed times; check each calm period."""
     drawn = create_play(seed, DEPLOYED_LEASE_S, DEPLOYED_CUT_OFF_RENEWAL_S)
     played = _run_with_faults(often, *drawn)
-    calm = CalmLook()
+    calm = CalmPeriodCheck()
     _run_and_check(played, CHECKED_CALM_S, calm.look)
     return calm.stills
 
@@ -191,7 +189,7 @@
     machine: FleetMachine
     rng: random.Random
     waiting: list[StagedJob]
-    disturber: Disturber
+    injector: FaultInjector
 
 
 def _run_with_faults(
@@ -200,15 +198,15 @@
     rng: random.Random,
     waiting: list[StagedJob],
 ) -> _FaultedRun:
-    disturber = Disturber(machine, rng, often)
+    injector = FaultInjector(machine, rng, often)
     until_s = machine.now_s + FAULTY_S
     while machine.now_s < until_s:
         if len(waiting) > 6 and rng.random() < 0.05:
             machine.submit(waiting.pop())
-        disturber.step()
+        injector.step()
         machine.step()
-    disturber.end()
-    return _FaultedRun(machine, rng, waiting, disturber)
+    injector.end()
+    return _FaultedRun(machine, rng, waiting, injector)
 
 
 def _run_and_check(
@@ -220,6 +218,6 @@
     while machine.now_s < until_s:
         if played.waiting and played.rng.random() < 0.02:
             machine.submit(played.waiting.pop())
-        played.disturber.step()
+        played.injector.step()
         machine.step()
         look(machine)
--- a/tests/fleet/test_scheduler.py
+++ b/tests/fleet/test_scheduler.py
@@ -186,9 +186,9 @@
     job = make_job(1, ONE)
     machine = make_machine(2, (job,), seed=3)
     machine.submit(job)
-    machine.lose_answers = 1.0
+    machine.lost_answer_share = 1.0
     machine.run(1)
-    machine.lose_answers = 0.0
+    machine.lost_answer_share = 0.0
     machine.run(12)
     check_history(machine)
     check_outcomes(machine)
--- a/tests/fleet/test_sequences.py
+++ b/tests/fleet/test_sequences.py
@@ -35,7 +35,7 @@
 
 def test_a_leaving_worker_may_run_on_while_it_is_off_the_list():
     machine, _, worker = start_one()
-    machine.world.leave(worker, machine.now_s, extra_s=6.0, says=True)
+    machine.world.leave(worker, machine.now_s, extra_s=6.0, announced=True)
     machine.run(1)
     worker.listed = False
     machine.run(10)
@@ -45,7 +45,7 @@
 
 def test_a_leaving_worker_may_come_back_on_the_list():
     machine, _, worker = start_one()
-    machine.world.leave(worker, machine.now_s, extra_s=6.0, says=True)
+    machine.world.leave(worker, machine.now_s, extra_s=6.0, announced=True)
     machine.run(1)
     worker.listed = False
     machine.run(0.3)
@@ -57,7 +57,7 @@
 
 def test_a_worker_that_never_said_that_it_leaves_may_run_on_off_the_list():
     machine, _, worker = start_one()
-    machine.world.leave(worker, machine.now_s, extra_s=10.0, says=False)
+    machine.world.leave(worker, machine.now_s, extra_s=10.0, announced=False)
     machine.run(10)
     check_history(machine)
     check_outcomes(machine)
@@ -91,7 +91,7 @@
     machine.run(0.5)
     worker = machine.world.workers["w0"]
     assert machine.owner.scheduler.is_busy("w0")
-    machine.world.leave(worker, machine.now_s, extra_s=6.0, says=True)
+    machine.world.leave(worker, machine.now_s, extra_s=6.0, announced=True)
     machine.run(0.2)
     worker.listed = False
     machine.run(10)
--- a/tests/fleet/test_shrunken_fleets.py
+++ b/tests/fleet/test_shrunken_fleets.py
@@ -15,7 +15,7 @@
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.checks import check_history
 from tests.fleet.machine import FleetMachine
-from tests.fleet.progress import CalmLook
+from tests.fleet.progress import CalmPeriodCheck
 from tests.fleet.test_reservations import get_reserved_workers
 
 LONGEST_WAIT_S = 3.0
@@ -36,7 +36,7 @@
     """Make workers announce that they leave; ``extra_s`` prolongs their notice time."""
     for name in names:
         worker = machine.world.workers[name]
-        machine.world.leave(worker, machine.now_s, extra_s, says=True)
+        machine.world.leave(worker, machine.now_s, extra_s, announced=True)
 
 
 def name_workers(first: int, end: int) -> list[str]:
@@ -120,7 +120,7 @@
     job = make_job(4, replace(ONE, cpu_milli=4000))
     machine = make_machine_with_reservation(free, job)
     machine.submit(job)
-    stall_check = CalmLook()
+    stall_check = CalmPeriodCheck()
     until_s = machine.now_s + STABLE_S + 2 * LONGEST_WAIT_S
     while machine.now_s < until_s:
         machine.step()
--- a/tests/fleet/test_spread_limits.py
+++ b/tests/fleet/test_spread_limits.py
@@ -7,7 +7,7 @@
 from larkhoist.jobs.spec import StepSpec
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.checks import check_history, check_outcomes
-from tests.fleet.progress import run_and_look
+from tests.fleet.progress import run_and_find_stalls
 
 WORK_S = 2.0
 
@@ -41,7 +41,7 @@
     machine.run(1.0)
     for name in ("w4", "w5"):
         worker = machine.world.workers[name]
-        machine.world.leave(worker, machine.now_s, 0.0, says=True)
+        machine.world.leave(worker, machine.now_s, 0.0, announced=True)
     machine.run(2.0)
     machine.submit(job)
     machine.run(5 * WORK_S)
@@ -53,7 +53,7 @@
     job = make_job(1, StepSpec(count=8, accelerators=1, spread_limit=1))
     machine = make_machine(6, (job,), work_s=WORK_S)
     machine.submit(job)
-    assert run_and_look(machine, 10.0).found == {}
+    assert run_and_find_stalls(machine, 10.0).found == {}
 
 
 def test_lasting_tasks_are_seen_to_stand_still_one_by_one():
@@ -65,7 +65,7 @@
     others = [name for name in machine.world.workers if name != lost.worker]
     machine.world.kill(lost.sim_worker, machine.now_s)
     machine.owner.scheduler.decide = lambda now_s, now_ms: Round()
-    stills = run_and_look(machine, 9.5)
+    stills = run_and_find_stalls(machine, 9.5)
     key = (job.job_id, 0, 1)
     assert len(others) == 3
     assert key in stills.found
--- a/tests/lab/test_watch.py
+++ b/tests/lab/test_watch.py
@@ -9,7 +9,7 @@
 from lab.events import Events
 from lab.kinds import FailingWorkers
 from lab.plans import make_plan
-from lab.progress import StandStills
+from lab.progress import StallDetector
 from lab.replay import WATCH_INTERVAL_S, replay
 from lab.watch import DayWatch
 from lab.workers import SimulatedWorkers
@@ -33,8 +33,8 @@
         plan = replace(make_plan("calm", workers), faults=faults)
         self.kind = plan.kinds[0]
         self.workers = SimulatedWorkers(plan, 0, Events(), self.report)
-        self.stills = StandStills()
-        self.full_stills = StandStills(however_full=True)
+        self.stills = StallDetector()
+        self.full_stills = StallDetector(however_full=True)
         self.watch = DayWatch(self.workers, (self.stills, self.full_stills))
         self.listed = [make_listed(f"w{number}") for number in range(workers)]
         self.now_s = 0.0
--- a/tests/promises/hall_machine.py
+++ b/tests/promises/hall_machine.py
@@ -55,7 +55,7 @@
             for number, name in enumerate(self.workers)
         }
         self.listed = dict(self.known_workers)
-        self.dead: set[str] = set()
+        self.dead_workers: set[str] = set()
         self.cut_links: set[tuple[str, str]] = set()
         self.lose_replies: set[str] = set()
         self.state = ClusterState()
@@ -91,7 +91,7 @@
 
     def kill_worker(self, name: str) -> None:
         """Kill a worker and lose all its tasks."""
-        self.dead.add(name)
+        self.dead_workers.add(name)
         for task in self.workers[name].tasks.values():
             command = task.command
             if task.state.value in ("running", "throttled"):
@@ -108,7 +108,7 @@
 
     def revive_worker(self, name: str) -> None:
         """Restart a dead worker without tasks."""
-        self.dead.discard(name)
+        self.dead_workers.discard(name)
 
     def unlist_worker(self, name: str) -> None:
         """Remove a worker from the platform's list; it goes on running."""
@@ -136,7 +136,7 @@
         """Advance the clock, the workers, the log and the owners by one step."""
         self.now_s += STEP_S
         for name, worker in self.workers.items():
-            if name not in self.dead:
+            if name not in self.dead_workers:
                 worker.tick(self.now_s)
         if not self.log_down:
             pending, self.pending = self.pending, []
@@ -202,7 +202,7 @@
         tenure = owner.tenure
         task_term_s = tenure.get_task_term(name, self.now_s)
         tenure.note_sent(name, self.now_s, task_term_s)
-        if name in self.dead or (owner.name, name) in self.cut_links:
+        if name in self.dead_workers or (owner.name, name) in self.cut_links:
             tenure.note_silence(name)
             return
         request = LeaseRequest(
@@ -273,7 +273,7 @@
         self, owner: Owner, name: str, command: TaskCommand
     ) -> bool | None:
         tenure = owner.tenure
-        unreachable = name in self.dead or (owner.name, name) in self.cut_links
+        unreachable = name in self.dead_workers or (owner.name, name) in self.cut_links
         if name not in self.listed or unreachable:
             return None
         request = CommandRequest(owner.name, tenure.get_epoch(name), (command,))
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -55,7 +55,7 @@
     async with watch(cluster) as watcher:
         taken.append(await change(cluster, names[0], 1, names))
         # A hall that is cut off from the platform gets changes from its peers.
-        await cluster.cut_from_platform(*cluster.get_instances("hall-c"))
+        await cluster.block_from_platform(*cluster.get_instances("hall-c"))
         evidence.faults["hall cut from the platform"] += 1
         taken.append(await change(cluster, names[0], 2, names))
         # An instance of the cut hall is replaced by a new one.
@@ -64,7 +64,7 @@
         await cluster.start_instance(victim)
         evidence.faults["instance replaced in a cut hall"] += 1
         await cluster.wait_ready(victim)
-        await cluster.cut_from_platform()
+        await cluster.block_from_platform()
         # The reply to an append is lost; the change is applied only once.
         await cluster.set_platform_faults(lose_replies=2)
         evidence.faults["append reply lost"] += 2
@@ -120,7 +120,7 @@
     cluster = await start_cluster("tests.broken.no_relay", **SHAPE, settings=FAST)
     names = list_instances(cluster)
     await change(cluster, names[0], 1, names)
-    await cluster.cut_from_platform(*cluster.get_instances("hall-c"))
+    await cluster.block_from_platform(*cluster.get_instances("hall-c"))
     confirmed = await cluster.confirm_intent(names[0], make_intent(2))
     await asyncio.sleep(BOUND_S)
     for name in cluster.get_instances("hall-c"):
--- a/tests/promises/test_gangs_processes.py
+++ b/tests/promises/test_gangs_processes.py
@@ -96,7 +96,7 @@
     await cluster.set_platform_faults(down=False)
     name = find_live(cluster)
     for job in jobs:
-        ended = await cluster.wait_job(name, job["name"])
+        ended = await cluster.wait_for_job_state(name, job["name"])
         if job["name"] != "job-21":
             assert ended["code"] == Code.JOB_FINISHED
     sizes = {job["name"]: job["members"] for job in jobs}
@@ -116,10 +116,10 @@
     await configure(cluster)
     await submit(cluster, make_job(1, 2, 8, 3.0))
     name = find_live(cluster)
-    placed = await cluster.wait_job(name, "job-1", "placed")
+    placed = await cluster.wait_for_job_state(name, "job-1", "placed")
     await cluster.set_worker_faults(placed["workers"][0], frozen=True)
     evidence.faults["worker cut off"] += 1
-    ended = await cluster.wait_job(name, "job-1")
+    ended = await cluster.wait_for_job_state(name, "job-1")
     assert ended["code"] == Code.JOB_FINISHED
     assert ended["attempt"] == 2
     events, violations = await check_journal(cluster, {"job-1": 2})
@@ -142,7 +142,9 @@
         await submit(cluster, job)
     name = find_live(cluster)
     for job in jobs:
-        assert (await cluster.wait_job(name, job["name"]))["code"] == Code.JOB_FINISHED
+        assert (await cluster.wait_for_job_state(name, job["name"]))[
+            "code"
+        ] == Code.JOB_FINISHED
     sizes = {job["name"]: job["members"] for job in jobs}
     events, violations = await check_journal(cluster, sizes)
     evidence.operations += len(events)
--- a/tests/promises/test_membership.py
+++ b/tests/promises/test_membership.py
@@ -50,7 +50,7 @@
 
 async def let_one_see_the_list(cluster):
     """Cut all instances but the first off from the platform and its list."""
-    await cluster.cut_from_platform(*cluster.get_instances(HALL)[1:])
+    await cluster.block_from_platform(*cluster.get_instances(HALL)[1:])
 
 
 async def start_one_afresh(cluster):
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -18,7 +18,7 @@
         "payload": "run_s=600",
     }
     await cluster.post(name, "/v1/jobs", {"name": "first"} | job)
-    await cluster.wait_job(name, "first", "placed")
+    await cluster.wait_for_job_state(name, "first", "placed")
     await cluster.post(name, "/v1/jobs", {"name": "second"} | job)
     for instance in ("hall-a-entry-0", "hall-a-entry-1", "hall-b-entry-0"):
 
--- a/tests/test_hall_crashes.py
+++ b/tests/test_hall_crashes.py
@@ -36,7 +36,11 @@
                 event.event == "running" and machine.now_s >= event.at_s + crash_after_s
             )
             holder = find_worker(machine, event)
-            if due and event.member == 0 and holder not in (None, *machine.dead):
+            if (
+                due
+                and event.member == 0
+                and holder not in (None, *machine.dead_workers)
+            ):
                 machine.kill_worker(holder)
                 restart_at_s[holder] = machine.now_s + RESTART_DELAY_S
         if machine.now_s >= owner_change_s:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
 from larkhoist.ports.platform import Instance
 from larkhoist.scheduling.quarantine import Quarantine
 from larkhoist.scheduling.runtime import RuntimeLearner
-from measure.plain_scheduler import Fit, find_plainly
+from measure.baseline_placement import BaselineFit, find_baseline_places
 
 
 def make_index(racks=2, workers=4, size=8):
@@ -74,7 +74,7 @@
         return
     places = index.find(*shape)
     spec = JobSpec("j", "c", members, accelerators, adjacency)
-    plain = find_plainly(index, spec, Fit.FIRST)
+    plain = find_baseline_places(index, spec, BaselineFit.FIRST)
     assert (places is None) == (plain is None)
     if places is None:
         return
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from demo.__main__ import read_cluster
+from demo.__main__ import read_example
 from larkhoist.codes import Code
 
 # A fixed width: the layout of the output must not depend on the terminal.
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("name", ["bangkok", "sicily"])
 async def test_operator_session(name, start_cluster, snapshot, tmp_path):
-    shape, intent = read_cluster(name, whole=False)
+    shape, intent = read_example(name, whole=False)
     shape = replace(shape, instances=1)
     fields = {field: getattr(shape, field) for field in shape.__dataclass_fields__}
     cluster = await start_cluster(**fields)
@@ -85,7 +85,7 @@
         file = tmp_path / f"job-{number}.json"
         file.write_text(json.dumps(job))
         await session.run("job", "submit", file)
-        ended = await cluster.wait_job(first, job["name"])
+        ended = await cluster.wait_for_job_state(first, job["name"])
         assert ended["code"] == Code.JOB_FINISHED
         await session.run("explain", job["name"])
     await session.run("job", "cancel", "no-such-job")
