--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -56,8 +56,8 @@
 def pytest_collection_modifyitems(config, items):
     """Deselect known failures.
 
-    Raises ``pytest.UsageError`` if a listed test does not exist. Tests named one by one
-    on the command line run even if they are listed, and without this check.
+    Raises ``pytest.UsageError`` if a listed test does not exist. If any argument on
+    the command line names a single test, listed tests run and nothing is checked.
     """
     failures = read_known_failures()
     names = [item.nodeid for item in items]
@@ -100,5 +100,5 @@
 
 
 def _selects_single_tests(config) -> bool:
-    """Return whether the command line names single tests by id."""
+    """Return whether any argument on the command line is the id of a single test."""
     return any("::" in argument for argument in config.args)
