--- a/lab/progress.py
+++ b/lab/progress.py
@@ -80,7 +80,7 @@
     """Tracks steps that stand still; ``found`` holds those over ``longest_s``.
 
     ``any_rack`` also counts room in racks other than those that a step asked for.
-    ``however_full`` does so too, and ignores how much of all room is in use.
+    ``ignore_usage`` does so too, and ignores how much of all room is in use.
     """
 
     def __init__(
@@ -88,11 +88,11 @@
         longest_s: float = MAX_IDLE_S,
         *,
         any_rack: bool = False,
-        however_full: bool = False,
+        ignore_usage: bool = False,
     ):
         self._longest_s = longest_s
         self._any_rack = any_rack
-        self._however_full = however_full
+        self._ignore_usage = ignore_usage
         self._since_s: dict[StepKey, float] = {}
         self.found: dict[StepKey, Stall] = {}
 
@@ -116,7 +116,7 @@
                 self._keep_longest(key, still)
 
     def _could_run(self, idle: IdleStep, snapshot: "_RoomSnapshot") -> bool:
-        if self._however_full:
+        if self._ignore_usage:
             return snapshot.has_room_twice(idle)
         return snapshot.could_run(idle, any_rack=self._any_rack)
 
--- a/lab/replay.py
+++ b/lab/replay.py
@@ -22,7 +22,7 @@
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.scheduler import create_fleet_scheduler
 from larkhoist.jobs.records import JobOutcome
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.ports.fleet import ListedTaskWorker
 from larkhoist.ports.task_worker import EndedTask, WorkerReport
 
@@ -116,7 +116,7 @@
         self._events = Events()
         self._workers = SimulatedWorkers(plan, seed, self._events, self._note_end)
         self._stills = StallDetector()
-        self._full_stills = StallDetector(however_full=True)
+        self._full_stills = StallDetector(ignore_usage=True)
         watched = (self._stills, self._full_stills)
         self._watch = DayWatch(self._workers, watched)
         self._scheduler = create_fleet_scheduler(policy, 0.0)
@@ -183,7 +183,7 @@
         match event:
             case _Arrive(arrival):
                 self._watch.open_job(arrival)
-                entry = JobEntry(arrival.job)
+                entry = StagedJobEntry(arrival.job)
                 self._scheduler.add_job(entry, now_s, round(now_s * 1000))
             case _Cancel(job_id):
                 self._watch.close_job(job_id)
--- a/lab/result.py
+++ b/lab/result.py
@@ -57,7 +57,7 @@
     longest_s: float = 0.0
     stills: StallDetector = field(default_factory=StallDetector)
     full_stills: StallDetector = field(
-        default_factory=lambda: StallDetector(however_full=True)
+        default_factory=lambda: StallDetector(ignore_usage=True)
     )
 
     @property
--- a/measure/claims.py
+++ b/measure/claims.py
@@ -5,7 +5,7 @@
 
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.scheduler import FleetScheduler, create_fleet_scheduler
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.jobs.spec import JobTerms, StagedJob, StepSpec
 from larkhoist.ports.fleet import ListedTaskWorker, Resources
 
@@ -76,7 +76,7 @@
     job = StagedJob(
         f"{number:016x}", f"queue-{priority}", customer, "text", (step,), terms, 0
     )
-    scheduler.add_job(JobEntry(job), 0.0, 0)
+    scheduler.add_job(StagedJobEntry(job), 0.0, 0)
 
 
 def _draw_step(rng: random.Random, *, gang: bool) -> StepSpec:
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -5,7 +5,7 @@
 
 from larkhoist.fleet.policy import FleetPolicy
 from larkhoist.fleet.scheduler import FleetScheduler, create_fleet_scheduler
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.jobs.spec import JobTerms, StagedJob, StepSpec
 from larkhoist.ports.fleet import ListedTaskWorker, Resources
 
@@ -49,7 +49,7 @@
 def _add(scheduler: FleetScheduler, number: int, step: StepSpec) -> None:
     terms = JobTerms("service", 1, 3, 3.0, 1000)
     job = StagedJob(f"{number:016x}", "queue", "ann", "text", (step,), terms, 0)
-    scheduler.add_job(JobEntry(job), 0.0, 0)
+    scheduler.add_job(StagedJobEntry(job), 0.0, 0)
 
 
 def _draw_step(rng: random.Random) -> StepSpec:
--- a/src/larkhoist/control/job_operations.py
+++ b/src/larkhoist/control/job_operations.py
@@ -13,7 +13,7 @@
 from larkhoist.daemon.logs import log_event
 from larkhoist.jobs.catalog import CustomerAccount, JobQueue
 from larkhoist.jobs.records import JobAccepted, JobCancelRequested, encode_job_record
-from larkhoist.jobs.registry import JobEntry, JobRegistry, JobState
+from larkhoist.jobs.registry import JobRegistry, JobState, StagedJobEntry
 from larkhoist.jobs.spec import StagedJob
 from larkhoist.problem import Problem
 
@@ -181,7 +181,7 @@
         return follower.is_connected and await follower.catch_up(self._times.check_s)
 
     def _check_customer(
-        self, job_id: str, entry: JobEntry, customer: str
+        self, job_id: str, entry: StagedJobEntry, customer: str
     ) -> Problem | None:
         if entry.customer == customer or not customer or not entry.customer:
             return None
--- a/src/larkhoist/fleet/scheduler.py
+++ b/src/larkhoist/fleet/scheduler.py
@@ -30,7 +30,7 @@
 from larkhoist.fleet.state import FleetState
 from larkhoist.fleet.task import TaskState
 from larkhoist.fleet.worker import FleetWorker, create_worker
-from larkhoist.jobs.registry import JobEntry, JobRegistry
+from larkhoist.jobs.registry import JobRegistry, StagedJobEntry
 from larkhoist.ports.fleet import ListedTaskWorker, Resources
 from larkhoist.ports.task_worker import WorkerReport
 
@@ -95,7 +95,7 @@
             if name not in names and worker.listed:
                 self._unlist(worker, now_s)
 
-    def add_job(self, entry: JobEntry, now_s: float, now_ms: int) -> None:
+    def add_job(self, entry: StagedJobEntry, now_s: float, now_ms: int) -> None:
         """Add a job that was read from the log."""
         # A job that ended in this term may be read again before its outcome is read.
         if entry.job.job_id in self._added_job_ids or entry.unreadable:
--- a/src/larkhoist/fleet/state.py
+++ b/src/larkhoist/fleet/state.py
@@ -31,7 +31,7 @@
 from larkhoist.fleet.task import ActiveJob, Phase, Task, TaskState, create_phase
 from larkhoist.fleet.worker import FleetWorker
 from larkhoist.jobs.records import JobBegun, JobOutcome
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.scheduling.quarantine import Quarantine
 
 __all__ = ["FleetState"]
@@ -68,7 +68,7 @@
 
     # Jobs.
 
-    def add_job(self, entry: JobEntry, now_s: float, now_ms: int) -> ActiveJob:
+    def add_job(self, entry: StagedJobEntry, now_s: float, now_ms: int) -> ActiveJob:
         """Add a job from the log; tasks that may run count as running."""
         job = entry.job
         active = ActiveJob(job, now_s + (job.submitted_ms - now_ms) / 1000)
--- a/src/larkhoist/jobs/registry.py
+++ b/src/larkhoist/jobs/registry.py
@@ -29,7 +29,7 @@
 from larkhoist.jobs.spec import StagedJob
 from larkhoist.ports.keyed_log import StoredRecord
 
-__all__ = ["JobEntry", "JobRegistry", "JobState"]
+__all__ = ["JobRegistry", "JobState", "StagedJobEntry"]
 
 
 _logger = logging.getLogger(__name__)
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class JobEntry:
+class StagedJobEntry:
     """State of one job; its records may be applied in any order.
 
     ``job`` may be None once the job has ended. ``phases`` is the progress that this
@@ -93,7 +93,7 @@
     """
 
     def __init__(self):
-        self.entries: dict[str, JobEntry] = {}
+        self.entries: dict[str, StagedJobEntry] = {}
         self.remaining_leases_s: dict[str, float] = {}
 
     def replace(self, records: Iterable[StoredRecord]) -> None:
@@ -118,7 +118,7 @@
         self._apply_decoded(decoded)
         return decoded
 
-    def get(self, job_id: str) -> JobEntry | None:
+    def get(self, job_id: str) -> StagedJobEntry | None:
         """Return the entry of an accepted job, None if there is none."""
         entry = self.entries.get(job_id)
         if entry is None or (entry.job is None and entry.outcome is None):
@@ -191,8 +191,8 @@
             case JobOutcome(job_id):
                 self._get_or_create(job_id).outcome = record
 
-    def _get_or_create(self, job_id: str) -> JobEntry:
-        return self.entries.setdefault(job_id, JobEntry())
+    def _get_or_create(self, job_id: str) -> StagedJobEntry:
+        return self.entries.setdefault(job_id, StagedJobEntry())
 
     def _remove_key(self, key: str) -> None:
         job_id = key[1:]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,13 +15,14 @@
 class Evidence:
     """Counts of the operations, faults and violations seen while testing a promise.
 
-    ``violations_without`` counts violations with the tested mechanism switched off.
+    ``violations_with_mechanism_off`` counts violations with the tested mechanism
+    switched off.
     """
 
     faults: Counter = field(default_factory=Counter)
     operations: int = 0
     violations: int = 0
-    violations_without: int = 0
+    violations_with_mechanism_off: int = 0
     notes: list[str] = field(default_factory=list)
 
 
@@ -88,7 +89,7 @@
         terminalreporter.write_line(
             f"promise {number}: {found.operations} operations checked, "
             f"{found.violations} violations "
-            f"({found.violations_without} with the mechanism off); "
+            f"({found.violations_with_mechanism_off} with the mechanism off); "
             f"faults: {faults or 'none'}"
         )
         for note in found.notes:
--- a/tests/fleet/progress.py
+++ b/tests/fleet/progress.py
@@ -27,7 +27,7 @@
     """
 
     stills: StallDetector = field(
-        default_factory=lambda: StallDetector(any_rack=True, however_full=True)
+        default_factory=lambda: StallDetector(any_rack=True, ignore_usage=True)
     )
     calm_since_s: float = float("-inf")
     _term: int = 0
--- a/tests/fleet/test_leeway.py
+++ b/tests/fleet/test_leeway.py
@@ -6,7 +6,7 @@
 from larkhoist.codes import Code
 from larkhoist.fleet.proofs import EndListed, StartRefused
 from larkhoist.fleet.task import Phase
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.jobs.spec import StepSpec
 from larkhoist.ports.task_worker import EndKind
 from tests.fleet.cases import make_job, make_machine
@@ -236,7 +236,7 @@
     machine = make_machine(2, (job,))
     machine.run(1.0)
     state = machine.owner.scheduler.state
-    entry = JobEntry(job=job)
+    entry = StagedJobEntry(job=job)
     machine.owner.scheduler.add_job(entry, machine.now_s, machine.now_ms)
     (phase,) = state.jobs[job.job_id].phases.values()
     since_s = phase.unserved_since_s = machine.now_s - 10.0
--- a/tests/fleet/test_owner_changes.py
+++ b/tests/fleet/test_owner_changes.py
@@ -17,7 +17,7 @@
 from lab.progress import StallDetector
 from larkhoist.fleet.handed_on_waits import find_wait_start_ms
 from larkhoist.jobs.records import PhaseId, PhaseProgress, TaskProgress
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.jobs.spec import StepSpec
 from tests.fleet.cases import make_job, make_machine
 from tests.fleet.machine import FleetMachine
@@ -145,7 +145,7 @@
     job = make_job(1, NARROW, submitted_s=machine.now_s - 60.0)
     since_ms = machine.now_ms + int(1000 * since_s)
     progress = make_progress(0, since_ms)
-    entry = JobEntry(job=job, phases={progress.phase: progress})
+    entry = StagedJobEntry(job=job, phases={progress.phase: progress})
     scheduler = machine.owner.scheduler
     scheduler.add_job(entry, machine.now_s, machine.now_ms)
     (phase,) = scheduler.state.jobs[job.job_id].phases.values()
--- a/tests/fleet/test_proofs.py
+++ b/tests/fleet/test_proofs.py
@@ -9,7 +9,7 @@
 from larkhoist.codes import Code
 from larkhoist.fleet.effects import Round
 from larkhoist.jobs.records import JobOutcome, PhaseId, PhaseProgress, TaskProgress
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.jobs.spec import StagedJob, StepSpec
 from larkhoist.ports.task_worker import (
     CLOCK_DRIFT,
@@ -56,7 +56,7 @@
 def take_over(progress: PhaseProgress, job: StagedJob) -> FleetMachine:
     """Return a machine whose owner has read a job's progress."""
     machine = make_machine(2, (job,))
-    entry = JobEntry(job=job, begun=True, phases={progress.phase: progress})
+    entry = StagedJobEntry(job=job, begun=True, phases={progress.phase: progress})
     machine.owner.scheduler.add_job(entry, machine.now_s, machine.now_ms)
     return machine
 
--- a/tests/fleet/test_scheduler.py
+++ b/tests/fleet/test_scheduler.py
@@ -13,7 +13,7 @@
     PhaseProgress,
     TaskProgress,
 )
-from larkhoist.jobs.registry import JobEntry
+from larkhoist.jobs.registry import StagedJobEntry
 from larkhoist.jobs.spec import StepSpec
 from larkhoist.ports.task_worker import EndedTask, EndKind, WorkerReport
 from tests.fleet.cases import make_job, make_machine
@@ -245,7 +245,7 @@
     machine.submit(job)
     machine.run(3)
     # The job is read again without its outcome, then accepted a second time.
-    late = JobEntry(job=job)
+    late = StagedJobEntry(job=job)
     machine.owner.scheduler.add_job(late, machine.now_s, machine.now_ms)
     machine.run(3)
     machine.submit(job)
@@ -379,7 +379,7 @@
         PhaseId(job.job_id, 0, 0), (TaskProgress(attempt=1, failures=1),)
     )
     machine = make_machine(1, (job,))
-    entry = JobEntry(job=job, phases={progress.phase: progress})
+    entry = StagedJobEntry(job=job, phases={progress.phase: progress})
     machine.owner.scheduler.add_job(entry, machine.now_s, machine.now_ms)
     decided = machine.owner.scheduler.decide(machine.now_s, machine.now_ms)
     assert not decided.starts
--- a/tests/lab/test_watch.py
+++ b/tests/lab/test_watch.py
@@ -34,7 +34,7 @@
         self.kind = plan.kinds[0]
         self.workers = SimulatedWorkers(plan, 0, Events(), self.report)
         self.stills = StallDetector()
-        self.full_stills = StallDetector(however_full=True)
+        self.full_stills = StallDetector(ignore_usage=True)
         self.watch = DayWatch(self.workers, (self.stills, self.full_stills))
         self.listed = [make_listed(f"w{number}") for number in range(workers)]
         self.now_s = 0.0
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -111,7 +111,7 @@
         await cluster.wait_ready(names[0])
         await asyncio.sleep(0.5)
     violations = find_reversions(watcher.samples)
-    evidence.violations_without += len(violations)
+    evidence.violations_with_mechanism_off += len(violations)
     assert violations
 
 
@@ -125,7 +125,9 @@
     await asyncio.sleep(BOUND_S)
     for name in cluster.get_instances("hall-c"):
         status = (await cluster.get(name, "/v1/status")).json()
-        evidence.violations_without += status["revision"] < confirmed["revision"]
+        evidence.violations_with_mechanism_off += (
+            status["revision"] < confirmed["revision"]
+        )
         assert status["revision"] < confirmed["revision"]
 
 
--- a/tests/promises/test_gangs_machine.py
+++ b/tests/promises/test_gangs_machine.py
@@ -186,7 +186,7 @@
     with patch.object(Attempt, "begin", start_with_prepare):
         machine = run_plan([(("refuse prepare", "w2"), 30.0)])
     violations = check(machine)
-    evidence.violations_without += len(violations)
+    evidence.violations_with_mechanism_off += len(violations)
     assert any("prepared" in violation.what for violation in violations)
 
 
@@ -200,7 +200,7 @@
         machine.kill_worker("w1")
         machine.run(40.0)
     violations = check(machine)
-    evidence.violations_without += len(violations)
+    evidence.violations_with_mechanism_off += len(violations)
     assert any("in part" in violation.what for violation in violations)
 
 
@@ -215,7 +215,7 @@
         machine.cut_links.add(("owner", job.current.members[0].place.worker))
         machine.run(40.0)
     violations = check(machine)
-    evidence.violations_without += len(violations)
+    evidence.violations_with_mechanism_off += len(violations)
     assert any("another attempt" in violation.what for violation in violations)
 
 
--- a/tests/promises/test_guarantees.py
+++ b/tests/promises/test_guarantees.py
@@ -114,7 +114,7 @@
     with patch.object(HallScheduler, "_reclaim_for", lambda *_: []):
         machine = make_full_hall(FULL)
         taken_s = measure_claims(machine, CLAIMS, CLAIM_BOUND_S)
-    evidence.violations_without += taken_s is None
+    evidence.violations_with_mechanism_off += taken_s is None
     assert taken_s is None
 
 
--- a/tests/promises/test_membership.py
+++ b/tests/promises/test_membership.py
@@ -80,7 +80,7 @@
 async def test_leaving_upstream_gets_work_without_the_mark(start_cluster, evidence):
     cluster = await start_cluster("tests.broken.no_leaving", **SHAPE, settings=FAST)
     lasted_s = await leave_under_load(cluster, evidence, do_nothing)
-    evidence.violations_without += lasted_s > BOUND_S
+    evidence.violations_with_mechanism_off += lasted_s > BOUND_S
     assert lasted_s > BOUND_S
 
 
@@ -157,5 +157,5 @@
 async def test_stop_without_drain_cuts_requests_off(start_cluster, evidence):
     cluster = await start_cluster("tests.broken.no_drain", **SHAPE, settings=FAST)
     cut_off = await replace_all(cluster, evidence)
-    evidence.violations_without += len(cut_off)
+    evidence.violations_with_mechanism_off += len(cut_off)
     assert cut_off
--- a/tests/promises/test_requests.py
+++ b/tests/promises/test_requests.py
@@ -79,7 +79,7 @@
     _, violations = await run_runner_faults(cluster, evidence, "reset_after_run")
     # Random faults may not reset two attempts of one call in a row.
     violations += await call_over_resets(cluster, evidence)
-    evidence.violations_without += len(violations)
+    evidence.violations_with_mechanism_off += len(violations)
     assert {violation.promise for violation in violations} >= {4}
 
 
@@ -153,7 +153,7 @@
     _, violations = await run_runner_faults(
         cluster, evidence, "double", keyed_share=0.0
     )
-    evidence.violations_without += len(violations)
+    evidence.violations_with_mechanism_off += len(violations)
     assert {violation.promise for violation in violations} == {3}
 
 
@@ -237,7 +237,7 @@
 async def test_not_repeatable_runs_twice_without_claims(start_cluster, evidence):
     cluster = await start_cluster("tests.broken.no_claims", **SHAPE, settings=FAST)
     _, violations = await run_claim_faults(cluster, evidence)
-    evidence.violations_without += len(violations)
+    evidence.violations_with_mechanism_off += len(violations)
     assert {violation.promise for violation in violations} == {5}
 
 
