--- a/src/larkhoist/control/answer_times.py
+++ b/src/larkhoist/control/answer_times.py
@@ -13,10 +13,10 @@
 
 __all__ = ["AnswerTimes", "append_in_time", "create_answer_times"]
 
-LEAST_TIMEOUT_S = 0.3
+MIN_TIMEOUT_S = 0.3
 """Longer than the answer of a slow log takes (0.25 s), so that few calls are repeated
 before the estimate has adapted."""
-LONGEST_TIMEOUT_S = 1.2
+MAX_TIMEOUT_S = 1.2
 """Covers a queueing delay of 1 s at a partition of the log."""
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
@@ -51,10 +51,10 @@
 
     def get_timeout_s(self) -> float:
         """Return how long to wait for the next answer."""
-        timeout_s = LEAST_TIMEOUT_S
+        timeout_s = MIN_TIMEOUT_S
         if self._mean_s is not None:
             timeout_s = max(timeout_s, self._mean_s + DEVIATIONS * self._deviation_s)
-        return min(LONGEST_TIMEOUT_S, timeout_s * 2**self._lost_calls)
+        return min(MAX_TIMEOUT_S, timeout_s * 2**self._lost_calls)
 
 
 def create_answer_times() -> AnswerTimes:
--- a/src/larkhoist/control/stream_follower.py
+++ b/src/larkhoist/control/stream_follower.py
@@ -18,7 +18,7 @@
 
 _logger = logging.getLogger(__name__)
 FIRST_BACKOFF_S = 0.1
-LONGEST_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 0.5
 """Short, so that callers notice the end of an outage of the log soon."""
 READ_FAILURE_LOG_INTERVAL_S = 5.0
 """How often a follower logs that it still can't read its stream."""
@@ -128,7 +128,7 @@
                 return True
 
     async def _run(self) -> None:
-        backoff = Backoff(FIRST_BACKOFF_S, LONGEST_BACKOFF_S)
+        backoff = Backoff(FIRST_BACKOFF_S, MAX_BACKOFF_S)
         while True:
             called_s = asyncio.get_running_loop().time()
             if await self._step():
--- a/src/larkhoist/control/stream_writer.py
+++ b/src/larkhoist/control/stream_writer.py
@@ -19,7 +19,7 @@
 
 _logger = logging.getLogger(__name__)
 FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 0.4
+MAX_BACKOFF_S = 0.4
 MAX_BATCH_BYTES = 200_000
 """Size limit of one append, well below the limit of the platform."""
 RETRY_AFTER_S = 1.0
@@ -155,7 +155,7 @@
         return Problem(Code.APPEND_UNKNOWN, retry_after_s=RETRY_AFTER_S)
 
     async def _run(self) -> None:
-        backoff = Backoff(FIRST_BACKOFF_S, LONGEST_BACKOFF_S)
+        backoff = Backoff(FIRST_BACKOFF_S, MAX_BACKOFF_S)
         while not self.fenced:
             await self._added.wait()
             if not self._in_flight and not self._take_batch():
--- a/src/larkhoist/daemon/log_writer.py
+++ b/src/larkhoist/daemon/log_writer.py
@@ -22,7 +22,7 @@
 _logger = logging.getLogger(__name__)
 APPEND_BURST = 4.0
 FIRST_BACKOFF_S = 0.1
-LONGEST_BACKOFF_S = 1.0
+MAX_BACKOFF_S = 1.0
 RETRY_AFTER_S = 2.0
 
 
@@ -120,7 +120,7 @@
                 backoff_s = FIRST_BACKOFF_S
             else:
                 await asyncio.sleep(backoff_s)
-                backoff_s = min(backoff_s * 2, LONGEST_BACKOFF_S)
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     async def _append_batch(self, budget: AppendBudget) -> bool:
         is_new_batch = self._queue.in_flight is None
--- a/tests/control/test_answer_times.py
+++ b/tests/control/test_answer_times.py
@@ -3,18 +3,18 @@
 import pytest
 
 from larkhoist.control.answer_times import (
-    LEAST_TIMEOUT_S,
-    LONGEST_TIMEOUT_S,
+    MIN_TIMEOUT_S,
+    MAX_TIMEOUT_S,
     create_answer_times,
 )
 
 
 def test_quick_answers_keep_the_least_time_out():
     times = create_answer_times()
-    assert times.get_timeout_s() == LEAST_TIMEOUT_S
+    assert times.get_timeout_s() == MIN_TIMEOUT_S
     for _ in range(20):
         times.note_answer(0.004)
-    assert times.get_timeout_s() == LEAST_TIMEOUT_S
+    assert times.get_timeout_s() == MIN_TIMEOUT_S
 
 
 def test_losses_double_the_time_out_up_to_the_longest():
@@ -24,9 +24,9 @@
     for _ in range(4):
         times.note_loss()
         timeouts_s.append(times.get_timeout_s())
-    assert timeouts_s == [0.6, 1.2, LONGEST_TIMEOUT_S, LONGEST_TIMEOUT_S]
+    assert timeouts_s == [0.6, 1.2, MAX_TIMEOUT_S, MAX_TIMEOUT_S]
     times.note_answer(0.004)
-    assert times.get_timeout_s() == LEAST_TIMEOUT_S
+    assert times.get_timeout_s() == MIN_TIMEOUT_S
 
 
 @pytest.mark.parametrize("took_s", [0.2, 0.25, 0.29])
--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -25,8 +25,8 @@
 from tests.fleet.progress import CalmPeriodCheck, find_stalls
 from tests.fleet.sim_worker import SimWorker
 from tests.fleet.test_interleavings import (
-    DEPLOYED_CUT_OFF_RENEWAL_S,
-    DEPLOYED_LEASE_S,
+    PRODUCTION_CUT_OFF_RENEWAL_S,
+    PRODUCTION_LEASE_S,
     WORK_S,
 )
 
@@ -206,8 +206,8 @@
         {"ann": 2 * count, "bob": count},
         seed,
         fails=lambda task, worker: task.split(".")[0] in long_running_jobs,
-        lease_s=DEPLOYED_LEASE_S,
-        cut_off_renewal_s=DEPLOYED_CUT_OFF_RENEWAL_S,
+        lease_s=PRODUCTION_LEASE_S,
+        cut_off_renewal_s=PRODUCTION_CUT_OFF_RENEWAL_S,
     )
     machine.world.work_s_of = lambda task: (
         long_running_work_s if task.split(".")[0] in long_running_jobs else work_s
--- a/tests/fleet/test_interleavings.py
+++ b/tests/fleet/test_interleavings.py
@@ -25,8 +25,8 @@
 WORK_S = (0.5, 1.5, 4.0, 12.0)
 """Run times of tasks; some outlast a lease that is not renewed."""
 CLOCK_RATES = (0.98, 0.99, 1.0)
-DEPLOYED_LEASE_S = 10.0
-DEPLOYED_CUT_OFF_RENEWAL_S = 8.0
+PRODUCTION_LEASE_S = 10.0
+PRODUCTION_CUT_OFF_RENEWAL_S = 8.0
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -164,6 +164,6 @@
     play(
         seed,
         crashing=True,
-        lease_s=DEPLOYED_LEASE_S,
-        cut_off_renewal_s=DEPLOYED_CUT_OFF_RENEWAL_S,
+        lease_s=PRODUCTION_LEASE_S,
+        cut_off_renewal_s=PRODUCTION_CUT_OFF_RENEWAL_S,
     )
--- a/tests/fleet/test_progress.py
+++ b/tests/fleet/test_progress.py
@@ -28,8 +28,8 @@
 from tests.fleet.machine import FleetMachine
 from tests.fleet.progress import CalmPeriodCheck, find_stalls, run_and_find_stalls
 from tests.fleet.test_interleavings import (
-    DEPLOYED_CUT_OFF_RENEWAL_S,
-    DEPLOYED_LEASE_S,
+    PRODUCTION_CUT_OFF_RENEWAL_S,
+    PRODUCTION_LEASE_S,
     create_play,
 )
 
@@ -175,7 +175,7 @@
 
 def play_calm(seed: int, often: float) -> StallDetector:
     """Simulate the same with the deployed times; check each calm period."""
-    drawn = create_play(seed, DEPLOYED_LEASE_S, DEPLOYED_CUT_OFF_RENEWAL_S)
+    drawn = create_play(seed, PRODUCTION_LEASE_S, PRODUCTION_CUT_OFF_RENEWAL_S)
     played = _run_with_faults(often, *drawn)
     calm = CalmPeriodCheck()
     _run_and_check(played, CHECKED_CALM_S, calm.look)
