--- a/tests/control/test_answer_times.py
+++ b/tests/control/test_answer_times.py
@@ -3,8 +3,8 @@
 import pytest
 
 from larkhoist.control.answer_times import (
-    MIN_TIMEOUT_S,
     MAX_TIMEOUT_S,
+    MIN_TIMEOUT_S,
     create_answer_times,
 )
 
